--- a/src/coordination/quarantine/__tests__/crash-watch.test.ts
+++ b/src/coordination/quarantine/__tests__/crash-watch.test.ts
@@ -15,12 +15,12 @@
 describe('a run that breaks off', () => {
 	it.each<{name: string; isListed?: boolean; isRefused?: boolean; change?: (table: BackendTable) => unknown; isEvidence: boolean}>([
 		{name: 'at a backend server that then refuses connections', isEvidence: true},
-		{name: 'at one that still takes connections: overloaded, or its answer was spoilt', isRefused: false, isEvidence: false},
-		{name: 'at one that was told to leave or is reclaimed', change: table => table.upsert(backend('i-1', draining), 0), isEvidence: false},
-		{name: 'at one whose entry was removed first', change: table => table.vanish('i-1', 0), isEvidence: false},
-		{name: 'at one that is not known any more', isListed: false, isEvidence: false},
+		{name: 'at one that still accepts connections: it is overloaded, or its answer was corrupted', isRefused: false, isEvidence: false},
+		{name: 'at one that is draining or being reclaimed', change: table => table.upsert(backend('i-1', draining), 0), isEvidence: false},
+		{name: 'at one whose entry was removed before', change: table => table.vanish('i-1', 0), isEvidence: false},
+		{name: 'at one that is no longer known', isListed: false, isEvidence: false},
 		{
-			name: 'at one that has started anew under its name', isRefused: false, change: table => table.upsert(backend('i-1#2', {name: 'i-1', startedAtMs: 5}), 0), isEvidence: true,
+			name: 'at one that has restarted under the same name', isRefused: false, change: table => table.upsert(backend('i-1#2', {name: 'i-1', startedAtMs: 5}), 0), isEvidence: true,
 		},
 	])('$name is evidence: $isEvidence', async ({isListed = true, isRefused = true, change = () => undefined, isEvidence}) => {
 		const backends = new BackendTable({drainMs: 2000});
@@ -32,27 +32,27 @@
 		const quarantine = new Quarantine(() => false);
 		await new CrashWatch({
 			backends, quarantine, clock: new SteadyClock(), refuses: async () => isRefused,
-		}).noteBroken(77, backend('i-1'));
+		}).recordBrokenRun(77, backend('i-1'));
 		expect(quarantine.isEmpty).toBe(!isEvidence);
 	});
 
-	it('is looked into once for all that broke there together', async () => {
+	it('causes one check for all runs that broke off there together', async () => {
 		const backends = new BackendTable({drainMs: 2000});
 		backends.upsert(backend('i-1'), 0);
-		let looks = 0;
-		const watch = new CrashWatch({
+		let checks = 0;
+		const crashWatch = new CrashWatch({
 			backends, quarantine: new Quarantine(() => false), clock: new SteadyClock(), async refuses() {
-				looks++;
+				checks++;
 				return true;
 			},
 		});
-		await Promise.all(Array.from({length: 64}, async (_, index) => watch.noteBroken(index, backend('i-1'))));
-		expect(looks).toBe(1);
+		await Promise.all(Array.from({length: 64}, async (_, index) => crashWatch.recordBrokenRun(index, backend('i-1'))));
+		expect(checks).toBe(1);
 	});
 });
 
 describe('refusesConnections', () => {
-	it('tells a port that is taken from one that is not', async () => {
+	it('is false for a listening port and true after it is closed', async () => {
 		const server = createServer().listen(0, '127.0.0.1');
 		await new Promise(resolve => {
 			server.once('listening', resolve);
--- a/src/coordination/quarantine/__tests__/request-fingerprint.test.ts
+++ b/src/coordination/quarantine/__tests__/request-fingerprint.test.ts
@@ -1,14 +1,14 @@
 import {Buffer} from 'node:buffer';
 import {describe, expect, it} from 'vitest';
-import {describeFingerprint, fingerprintOf, type RequestIdentity} from '../request-fingerprint.js';
+import {formatFingerprint, computeFingerprint, type RequestIdentity} from '../request-fingerprint.js';
 
 const identity: RequestIdentity = {
 	account: 'team', host: 'h.example', method: 'POST', path: '/a/b?x=1', body: Buffer.from('body'),
 };
 
 describe('fingerprintOf', () => {
-	it('is the same for every attempt of a request', () => {
-		expect(fingerprintOf({...identity, body: Buffer.from('body')})).toBe(fingerprintOf(identity));
+	it('is the same for every retry of a request', () => {
+		expect(computeFingerprint({...identity, body: Buffer.from('body')})).toBe(computeFingerprint(identity));
 	});
 
 	it.each<{name: string; change: Partial<RequestIdentity>}>([
@@ -18,12 +18,12 @@
 		{name: 'another method', change: {method: 'GET'}},
 		{name: 'another query', change: {path: '/a/b?x=2'}},
 		{name: 'another body', change: {body: Buffer.from('bodz')}},
-		{name: 'a part that begins where the one before it ends', change: {host: 'h.exampleP', method: 'OST'}},
+		{name: 'characters moved from one field to the next', change: {host: 'h.exampleP', method: 'OST'}},
 	])('differs for $name', ({change}) => {
-		expect(fingerprintOf({...identity, ...change})).not.toBe(fingerprintOf(identity));
+		expect(computeFingerprint({...identity, ...change})).not.toBe(computeFingerprint(identity));
 	});
 
-	it('is shown with all its digits', () => {
-		expect(describeFingerprint(255)).toBe('0000000000ff');
+	it('is formatted with leading zeros', () => {
+		expect(formatFingerprint(255)).toBe('0000000000ff');
 	});
 });
--- a/src/coordination/quarantine/crash-watch.ts
+++ b/src/coordination/quarantine/crash-watch.ts
@@ -1,7 +1,8 @@
 /**
- * Finds out whether a backend server ended as a run there broke off. An overloaded one, or
- * one behind a faulty link, breaks connections and lives on; one that was told to leave or is
- * reclaimed ends for that reason. Neither says anything of the requests it ran.
+ * Finds out whether a backend server crashed when a run on it broke off. An overloaded backend
+ * server, or one behind a faulty link, breaks connections without crashing; one that is
+ * draining or being reclaimed ends for that reason. Neither says anything about the requests
+ * that were running.
  */
 import {type Backend} from '../../protocol/serving.js';
 import {type BackendTable} from '../../state/backend-table.js';
@@ -10,59 +11,59 @@
 import {createLogger} from '../../log.js';
 import {backendKey} from '../fleet/backend-key.js';
 import {type Quarantine} from './quarantine.js';
-import {describeFingerprint} from './request-fingerprint.js';
+import {formatFingerprint} from './request-fingerprint.js';
 
 const log = createLogger('quarantine');
 
-/** Time for a backend server to refuse a connection, in milliseconds; ten round trips between failure domains. A repeat waits for it. */
-const refuseMs = 50;
-/** Runs that break within this of each other share one look, in milliseconds. */
-const sharedMs = 1000;
+/** Time for a backend server to refuse a connection, in milliseconds: ten round trips between failure domains. A retry waits for it. */
+const refusalTimeoutMs = 50;
+/** Runs that break off at a backend server within this many milliseconds share one check. */
+const checkReuseMs = 1000;
 
-/** The parts a crash watch works with. */
-export type CrashWatchParts = {
+/** What a {@link CrashWatch} depends on. */
+export type CrashWatchDependencies = {
 	backends: BackendTable;
 	quarantine: Quarantine;
 	clock: SteadyClock;
-	/** Whether an address refuses connections. */
+	/** Tells whether an address refuses connections. */
 	refuses?: typeof refusesConnections;
 };
 
-/** Turns broken runs into evidence against the requests that ran. */
+/** Turns broken runs into evidence against the requests that were running. */
 export class CrashWatch {
-	private readonly looks = new Map<string, {atMs: number; hasEnded: Promise<boolean>}>();
+	private readonly checks = new Map<string, {atMs: number; hasEnded: Promise<boolean>}>();
 
-	constructor(private readonly parts: CrashWatchParts) {}
+	constructor(private readonly dependencies: CrashWatchDependencies) {}
 
-	/** Takes note of a run that broke off; done once it is known whether its backend server has ended. */
-	async noteBroken(fingerprint: number, backend: Backend): Promise<void> {
-		const {quarantine, clock} = this.parts;
-		if (!this.isLeaving(backend) && await this.look(backend, clock.now())) {
+	/** Records a run that broke off; resolves once it is known whether its backend server has crashed. */
+	async recordBrokenRun(fingerprint: number, backend: Backend): Promise<void> {
+		const {quarantine, clock} = this.dependencies;
+		if (!this.isLeaving(backend) && await this.checkEnded(backend, clock.now())) {
 			quarantine.noteCrash(fingerprint, backendKey(backend.id), clock.now());
-			log.info('backend server ended under a request.', {backend: backend.id, fingerprint: describeFingerprint(fingerprint)});
+			log.info('backend server crashed while running a request.', {backend: backend.id, fingerprint: formatFingerprint(fingerprint)});
 		}
 	}
 
 	private isLeaving({id}: Backend): boolean {
-		const entry = this.parts.backends.get(id);
+		const entry = this.dependencies.backends.get(id);
 		return !entry || (!entry.isEnded && (entry.leavingSinceMs !== undefined || entry.vanishedAtMs !== undefined));
 	}
 
-	/** Whether a backend server has ended, asked once for all runs that break there together. */
-	private async look(backend: Backend, nowMs: number): Promise<boolean> {
-		const {backends, refuses = refusesConnections} = this.parts;
+	/** Whether a backend server has ended; checked once for all runs that break off there together. */
+	private async checkEnded(backend: Backend, nowMs: number): Promise<boolean> {
+		const {backends, refuses = refusesConnections} = this.dependencies;
 		if (backends.get(backend.id)?.isEnded) {
 			return true;
 		}
 
-		for (const [id, {atMs}] of this.looks) {
-			if (nowMs - atMs > sharedMs) {
-				this.looks.delete(id);
+		for (const [id, {atMs}] of this.checks) {
+			if (nowMs - atMs > checkReuseMs) {
+				this.checks.delete(id);
 			}
 		}
 
-		const look = this.looks.get(backend.id) ?? {atMs: nowMs, hasEnded: refuses(backend, refuseMs)};
-		this.looks.set(backend.id, look);
-		return look.hasEnded;
+		const check = this.checks.get(backend.id) ?? {atMs: nowMs, hasEnded: refuses(backend, refusalTimeoutMs)};
+		this.checks.set(backend.id, check);
+		return check.hasEnded;
 	}
 }
--- a/src/coordination/quarantine/quarantine-record.ts
+++ b/src/coordination/quarantine/quarantine-record.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the quarantined requests in the platform's store. Daemons that are all lost at once
- * forget them; without the record each of these requests would crash as many backend servers
- * again until it is known.
+ * Keeps the quarantined requests in the platform's store. If all daemons are lost at once,
+ * their memory of these requests is lost too; without the record, each of them would crash as
+ * many backend servers again before it is quarantined.
  */
 import {Buffer} from 'node:buffer';
 import {isSuspectNews, type SuspectNews} from '../../protocol/fleet-messages.js';
@@ -11,52 +11,52 @@
 import {fieldsOf, readOwnRecord} from '../own-record.js';
 import {type Quarantine} from './quarantine.js';
 
-/** Key of the record among the daemons' records; no daemon is called so. */
+/** Key of the record among the daemons' records; no daemon has this name. */
 export const quarantineKey = '#quarantine';
-/** How often it is looked whether the record is still right, in milliseconds. */
+/** Interval between checks whether the record must be written again, in milliseconds. */
 export const quarantineCheckMs = 500;
 
-/** Ages in it count from when it was written, in milliseconds since 1970. */
-type WrittenQuarantine = {atMs: number; suspects: SuspectNews[]};
+/** The record in the store; ages in it count back from `atMs`, the time of writing in milliseconds since 1970. */
+type StoredQuarantine = {atMs: number; suspects: SuspectNews[]};
 
-/** The record of quarantined requests, as one daemon writes and reads it. */
+/** Writes and reads the record of quarantined requests. */
 export class QuarantineRecord {
-	/** What the record says, without ages, as this daemon last wrote or read it. */
-	private written = '';
+	/** Summary of the record, without ages, as this daemon last wrote or read it. */
+	private storedSummary = '';
 
-	constructor(private readonly parts: {store: Store; quarantine: Quarantine; lease: DutyLease; clock: SteadyClock}) {}
+	constructor(private readonly dependencies: {store: Store; quarantine: Quarantine; lease: DutyLease; clock: SteadyClock}) {}
 
 	/**
-	 * Writes the record while this daemon holds the duties and what is quarantined has changed.
+	 * Writes the record if this daemon holds the lease of the singleton duties and the quarantined requests have changed.
 	 *
-	 * @throws {StateError} When the store does not take it.
+	 * @throws {StateError} When the store does not accept the record.
 	 */
 	async save(signal: AbortSignal): Promise<void> {
-		const {quarantine, lease, clock, store} = this.parts;
+		const {quarantine, lease, clock, store} = this.dependencies;
 		const nowMs = clock.now();
-		const suspects = quarantine.quarantined(nowMs);
+		const suspects = quarantine.quarantinedUpdates(nowMs);
 		const content = summarize(suspects);
-		if (content === this.written || lease.tokenAt(nowMs) === undefined) {
+		if (content === this.storedSummary || lease.tokenAt(nowMs) === undefined) {
 			return;
 		}
 
-		const record: WrittenQuarantine = {atMs: clock.wallNow(), suspects};
+		const record: StoredQuarantine = {atMs: clock.wallNow(), suspects};
 		await store.append(Topic.Members, {key: quarantineKey, value: Buffer.from(JSON.stringify(record))}, undefined, signal);
-		this.written = content;
+		this.storedSummary = content;
 	}
 
-	/** Takes over what was written before this daemon started, or by another one. */
+	/** Applies a record that another daemon wrote, or that was written before this daemon started. */
 	take(value: Uint8Array): void {
-		const {quarantine, clock} = this.parts;
-		const record = readOwnRecord(value, isWrittenQuarantine, 'quarantined requests');
+		const {quarantine, clock} = this.dependencies;
+		const record = readOwnRecord(value, isStoredQuarantine, 'quarantined requests');
 		if (record) {
-			// A clock that was set back does not make a crash lie ahead.
+			// If the clock was set back, crashes must not appear to be in the future.
 			const ageMs = Math.max(0, clock.wallNow() - record.atMs);
 			const suspects = record.suspects.map(({fingerprint, crashes, clearedAgeMs}) => ({
 				fingerprint, crashes: crashes.map(([backend, crashAgeMs]): [number, number] => [backend, crashAgeMs + ageMs]), clearedAgeMs: clearedAgeMs === undefined ? undefined : clearedAgeMs + ageMs,
 			}));
 			quarantine.hear(suspects, false, clock.now());
-			this.written = summarize(record.suspects);
+			this.storedSummary = summarize(record.suspects);
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	return suspects.map(({fingerprint, crashes}) => `${fingerprint}:${crashes.map(([backend]) => backend).toSorted((a, b) => a - b).join('+')}`).toSorted((a, b) => a < b ? -1 : 1).join(' ');
 }
 
-function isWrittenQuarantine(value: unknown): value is WrittenQuarantine {
+function isStoredQuarantine(value: unknown): value is StoredQuarantine {
 	const {atMs, suspects} = fieldsOf(value);
 	return typeof atMs === 'number' && isSuspectNews(suspects);
 }
--- a/src/coordination/quarantine/quarantine.ts
+++ b/src/coordination/quarantine/quarantine.ts
@@ -1,74 +1,75 @@
 /**
- * Keeps requests that crash backend servers (queries of death) from the ones that are left.
- * Such a request comes again after each crash, at any daemon, and each run ends the work of
- * all others at its backend server. What tells it from those: runs of the same fingerprint
- * were in progress at several backend servers when each of these ended, and none completed.
- * Daemons tell each other which backend server ended under which fingerprint, so an end
- * counts once however often it is told.
+ * Quarantines requests that crash backend servers (queries of death), to protect the remaining
+ * backend servers. Clients retry such a request after each crash, at any daemon, and each run
+ * also ends the other requests on its backend server. It differs from those in that runs of its
+ * fingerprint were in progress on several backend servers when they crashed, and none completed.
+ * Daemons gossip which backend server crashed while running which fingerprint, so a crash counts
+ * once however often it is reported.
  */
 import {type SuspectNews} from '../../protocol/fleet-messages.js';
-import {describeFingerprint} from './request-fingerprint.js';
+import {formatFingerprint} from './request-fingerprint.js';
 
-/** Backend servers that must have ended under a request before it is refused. Innocent requests met two ends in crash waves, when they were sent on at once. */
+/** Number of backend servers that must have crashed while running a request before it is quarantined. Two are not enough: in a wave of crashes, a harmless request that is retried at once may meet two. */
 export const crashesToQuarantine = 3;
-/** Backend servers that must have ended under a request before the next run of it is kept away from others. */
-const crashesToIsolate = 2;
-/** How long a request is refused after the crash that made it known, in milliseconds; doubled by each further one. */
-export const firstQuarantineMs = 60_000;
-const longestQuarantineMs = 15 * 60_000;
-/** Time between two probes of a request whose quarantine is over, in milliseconds: longer than a run may take. */
-const probePauseMs = 30_000;
-/** When a client should return that met a request which only another daemon may probe, in milliseconds. */
-const elsewhereReturnMs = 10_000;
-/** What is known of a request is forgotten this long after its last crash, in milliseconds. */
-const forgottenMs = 60 * 60_000;
-/** Ends under a request that is not quarantined count for this long, in milliseconds. */
-const suspicionMs = 10 * 60_000;
-/** Fingerprints remembered: a wave that ends ten engines leaves some five hundred. */
-const mostSuspects = 2000;
-/** What is new is told for this long, in milliseconds: eight rounds, of which datagrams may lose some. */
-const toldMs = 2000;
-/** Difference below which two times of one event are the same, in milliseconds: each daemon that passes one on adds the time of a message. */
-const sameMs = 1000;
-/** Time between two looks for what is to be forgotten, in milliseconds, and how many fingerprints more than are remembered there may be meanwhile. */
-const pruneMs = 1000;
-const mostUnpruned = 500;
-/** Fingerprints told in one round, the most suspect first: those that one daemon had in progress at a full engine. */
-const mostTold = 64;
-/** Ends told of one fingerprint, the latest ones: more than make it quarantined. */
-const mostToldCrashes = 6;
-
-/** What is known of one fingerprint. */
+/** Number of backend servers that must have crashed while running a request before its next run is placed where the fewest other requests run. */
+const isolationCrashes = 2;
+/** How long a request is refused after the crash that quarantined it, in milliseconds; each further crash doubles the time. */
+export const initialQuarantineMs = 60_000;
+/** Longest quarantine, in milliseconds. */
+const maxQuarantineMs = 15 * 60_000;
+/** Interval between two probes of a request whose quarantine is over, in milliseconds: longer than a run may take. */
+const probeIntervalMs = 30_000;
+/** Retry-After for a request whose quarantine is over but which only another daemon may probe, in milliseconds. */
+const nonProberRetryAfterMs = 10_000;
+/** A quarantined request is forgotten this many milliseconds after its last crash or completed run. */
+const quarantineMemoryMs = 60 * 60_000;
+/** A suspect that is not quarantined is forgotten this many milliseconds after its last crash or completed run. */
+const suspicionMemoryMs = 10 * 60_000;
+/** Number of suspects that are remembered: a wave of crashes of ten engines leaves about five hundred. */
+const maxSuspects = 2000;
+/** A change is gossiped for this many milliseconds: eight rounds, since some datagrams may be lost. */
+const gossipMs = 2000;
+/** Completions whose times differ by no more than this many milliseconds are the same one: each daemon that relays an age adds the latency of a message. */
+const sameEventToleranceMs = 1000;
+/** Interval between two prunings, in milliseconds, and the number of suspects beyond {@link maxSuspects} that are allowed in between. */
+const pruneIntervalMs = 1000;
+const maxUnprunedSuspects = 500;
+/** Number of suspects gossiped in one round, the most suspect first: as many as one daemon may have in progress at a full engine. */
+const maxGossipedSuspects = 64;
+/** Number of crashes gossiped for one suspect, the latest ones: more than are needed for a quarantine. */
+const maxGossipedCrashes = 6;
+
+/** What is known of one suspected request. */
 type Suspect = {
-	/** When each backend server ended under it, by the backend server's key. */
+	/** When each backend server crashed while running it, by the backend server's key. */
 	crashes: Map<number, number>;
 	/** When a run of it last completed; earlier crashes do not count. */
 	clearedAtMs: number;
 	/** When this daemon last learned something of it. */
 	changedAtMs: number;
-	/** When this daemon last let a probe run. */
+	/** When this daemon last admitted a probe. */
 	probedAtMs: number;
 };
 
-/** Why a request is refused. */
-export type Quarantined = {crashes: number; returnAfterMs: number};
+/** The refusal of a quarantined request: the number of crashes that count against it, and its Retry-After. */
+export type QuarantineRefusal = {crashes: number; retryAfterMs: number};
 
-/** The requests under which backend servers ended, as one daemon knows them. */
+/** The suspected and quarantined requests that one daemon knows of. */
 export class Quarantine {
 	private readonly suspects = new Map<number, Suspect>();
 	private prunedAtMs = Number.NEGATIVE_INFINITY;
 
-	/** @param mayProbe Whether this daemon is the one that may try a request once its quarantine is over. */
-	constructor(private readonly mayProbe: (nowMs: number) => boolean) {}
+	/** @param canProbe Tells whether this daemon is the one that may probe requests whose quarantine is over. */
+	constructor(private readonly canProbe: (nowMs: number) => boolean) {}
 
 	/** Whether nothing is suspected, so that no request needs a fingerprint. */
 	get isEmpty(): boolean {
 		return this.suspects.size === 0;
 	}
 
-	/** Notes that a backend server ended while it ran a request. */
+	/** Records that a backend server crashed while running a request. */
 	noteCrash(fingerprint: number, backendKey: number, nowMs: number): void {
-		const suspect = this.suspect(fingerprint);
+		const suspect = this.findOrAddSuspect(fingerprint);
 		if (!suspect.crashes.has(backendKey)) {
 			suspect.crashes.set(backendKey, nowMs);
 			suspect.changedAtMs = nowMs;
@@ -77,8 +78,8 @@
 		this.prune(nowMs);
 	}
 
-	/** Notes that a run of a request completed: it does not crash backend servers. */
-	noteCompleted(fingerprint: number, nowMs: number): void {
+	/** Records that a run of a request completed, which clears the request of its earlier crashes. */
+	recordCompletedRun(fingerprint: number, nowMs: number): void {
 		const suspect = this.suspects.get(fingerprint);
 		if (suspect && suspect.crashes.size > 0) {
 			this.clear(suspect, nowMs);
@@ -86,58 +87,58 @@
 		}
 	}
 
-	/** Decides whether a request may run; undefined when it may. One whose quarantine is over may run once, as a probe, at one daemon of all. */
-	admit(fingerprint: number, nowMs: number): Quarantined | undefined {
+	/** Decides whether a request may run; undefined when it may. After its quarantine it may run as a probe, at one daemon only and once in {@link probeIntervalMs}. */
+	admit(fingerprint: number, nowMs: number): QuarantineRefusal | undefined {
 		const suspect = this.suspects.get(fingerprint);
 		if (!suspect || suspect.crashes.size < crashesToQuarantine) {
 			return undefined;
 		}
 
-		const leftMs = quarantineEndMs(suspect) - nowMs;
-		if (leftMs > 0) {
-			return {crashes: suspect.crashes.size, returnAfterMs: leftMs};
+		const remainingMs = quarantineEndsAtMs(suspect) - nowMs;
+		if (remainingMs > 0) {
+			return {crashes: suspect.crashes.size, retryAfterMs: remainingMs};
 		}
 
-		if (!this.mayProbe(nowMs)) {
-			return {crashes: suspect.crashes.size, returnAfterMs: elsewhereReturnMs};
+		if (!this.canProbe(nowMs)) {
+			return {crashes: suspect.crashes.size, retryAfterMs: nonProberRetryAfterMs};
 		}
 
-		const probeLeftMs = suspect.probedAtMs + probePauseMs - nowMs;
-		if (probeLeftMs > 0) {
-			return {crashes: suspect.crashes.size, returnAfterMs: probeLeftMs};
+		const msUntilProbe = suspect.probedAtMs + probeIntervalMs - nowMs;
+		if (msUntilProbe > 0) {
+			return {crashes: suspect.crashes.size, retryAfterMs: msUntilProbe};
 		}
 
 		suspect.probedAtMs = nowMs;
 		return undefined;
 	}
 
-	/** Whether a request that is being served may not be sent once more. */
+	/** Whether a request that is being served must not be sent again. */
 	forbidsRepeat(fingerprint: number): boolean {
 		return (this.suspects.get(fingerprint)?.crashes.size ?? 0) >= crashesToQuarantine;
 	}
 
-	/** Whether the next run of a request may well crash its backend server. */
+	/** Whether the next run of a request is likely to crash its backend server. */
 	isSuspect(fingerprint: number): boolean {
-		return (this.suspects.get(fingerprint)?.crashes.size ?? 0) >= crashesToIsolate;
+		return (this.suspects.get(fingerprint)?.crashes.size ?? 0) >= isolationCrashes;
 	}
 
-	/** What other daemons should know: what changed of late, and with `withQuarantined` all that is quarantined, for those that have just started. */
+	/** Returns the updates for other daemons: recent changes, and with `withQuarantined` all quarantined requests, for daemons that have just started. */
 	news(withQuarantined: boolean, nowMs: number): SuspectNews[] {
 		this.prune(nowMs);
-		const told = [...this.suspects].filter(([, suspect]) => (withQuarantined && isQuarantined(suspect)) || nowMs - suspect.changedAtMs <= toldMs);
-		return told.toSorted(([, a], [, b]) => compareSuspicion(a, b)).slice(0, mostTold).map(entry => toNews(entry, nowMs));
+		const reported = [...this.suspects].filter(([, suspect]) => (withQuarantined && isQuarantined(suspect)) || nowMs - suspect.changedAtMs <= gossipMs);
+		return reported.toSorted(([, a], [, b]) => compareSuspicion(a, b)).slice(0, maxGossipedSuspects).map(entry => toUpdate(entry, nowMs));
 	}
 
-	/** What the store should keep for the case that all daemons are lost at once. */
-	quarantined(nowMs: number): SuspectNews[] {
-		return [...this.suspects].filter(([, suspect]) => isQuarantined(suspect)).map(entry => toNews(entry, nowMs));
+	/** Returns the quarantined requests, to be stored in case all daemons are lost at once. */
+	quarantinedUpdates(nowMs: number): SuspectNews[] {
+		return [...this.suspects].filter(([, suspect]) => isQuarantined(suspect)).map(entry => toUpdate(entry, nowMs));
 	}
 
-	/** Takes what another daemon knows; what is known already changes nothing. What is new is told on by a daemon that `passesOn`. */
-	hear(news: SuspectNews[], passesOn: boolean, nowMs: number): void {
-		for (const item of news) {
-			const suspect = this.suspect(item.fingerprint);
-			if (this.merge(suspect, item, nowMs) && passesOn) {
+	/** Applies updates received from another daemon or read from the store; known ones change nothing. New ones are gossiped further if `shouldPropagate`. */
+	hear(updates: SuspectNews[], shouldPropagate: boolean, nowMs: number): void {
+		for (const update of updates) {
+			const suspect = this.findOrAddSuspect(update.fingerprint);
+			if (this.mergeUpdate(suspect, update, nowMs) && shouldPropagate) {
 				suspect.changedAtMs = nowMs;
 			}
 		}
@@ -145,16 +146,16 @@
 		this.prune(nowMs);
 	}
 
-	/** What a state dump shows. */
+	/** Returns the state dump's entry. */
 	toJson(nowMs: number): unknown {
-		return this.news(true, nowMs).map(({fingerprint, ...rest}) => ({fingerprint: describeFingerprint(fingerprint), ...rest}));
+		return this.news(true, nowMs).map(({fingerprint, ...rest}) => ({fingerprint: formatFingerprint(fingerprint), ...rest}));
 	}
 
-	/** Returns whether something of it was new. */
-	private merge(suspect: Suspect, {crashes, clearedAgeMs}: SuspectNews, nowMs: number): boolean {
+	/** Merges an update into what is known of a suspect; returns whether anything in it was new. */
+	private mergeUpdate(suspect: Suspect, {crashes, clearedAgeMs}: SuspectNews, nowMs: number): boolean {
 		let isNew = false;
 		const clearedAtMs = clearedAgeMs === undefined ? Number.NEGATIVE_INFINITY : nowMs - clearedAgeMs;
-		if (clearedAtMs - suspect.clearedAtMs > sameMs) {
+		if (clearedAtMs - suspect.clearedAtMs > sameEventToleranceMs) {
 			this.clear(suspect, clearedAtMs);
 			isNew = true;
 		}
@@ -170,6 +171,7 @@
 		return isNew;
 	}
 
+	/** Drops the crashes up to the time at which a run completed. */
 	private clear(suspect: Suspect, atMs: number): void {
 		suspect.clearedAtMs = atMs;
 		for (const [backendKey, crashedAtMs] of suspect.crashes) {
@@ -179,7 +181,7 @@
 		}
 	}
 
-	private suspect(fingerprint: number): Suspect {
+	private findOrAddSuspect(fingerprint: number): Suspect {
 		let suspect = this.suspects.get(fingerprint);
 		if (!suspect) {
 			suspect = {
@@ -191,23 +193,23 @@
 		return suspect;
 	}
 
-	/** Forgets what is old, and the least suspect ones beyond those that are remembered. */
+	/** Removes expired suspects, and the least suspect ones beyond {@link maxSuspects}. */
 	private prune(nowMs: number): void {
-		if (nowMs - this.prunedAtMs < pruneMs && this.suspects.size <= mostSuspects + mostUnpruned) {
+		if (nowMs - this.prunedAtMs < pruneIntervalMs && this.suspects.size <= maxSuspects + maxUnprunedSuspects) {
 			return;
 		}
 
 		this.prunedAtMs = nowMs;
 		for (const [fingerprint, suspect] of this.suspects) {
-			const keptMs = isQuarantined(suspect) ? forgottenMs : suspicionMs;
-			if (nowMs - Math.max(lastCrashMs(suspect), suspect.clearedAtMs) > keptMs) {
+			const memoryMs = isQuarantined(suspect) ? quarantineMemoryMs : suspicionMemoryMs;
+			if (nowMs - Math.max(lastCrashAtMs(suspect), suspect.clearedAtMs) > memoryMs) {
 				this.suspects.delete(fingerprint);
 			}
 		}
 
-		if (this.suspects.size > mostSuspects) {
+		if (this.suspects.size > maxSuspects) {
 			const ranked = [...this.suspects].toSorted(([, a], [, b]) => compareSuspicion(a, b));
-			for (const [fingerprint] of ranked.slice(mostSuspects)) {
+			for (const [fingerprint] of ranked.slice(maxSuspects)) {
 				this.suspects.delete(fingerprint);
 			}
 		}
@@ -218,23 +220,23 @@
 	return crashes.size >= crashesToQuarantine;
 }
 
-function lastCrashMs({crashes}: Suspect): number {
+function lastCrashAtMs({crashes}: Suspect): number {
 	return Math.max(Number.NEGATIVE_INFINITY, ...crashes.values());
 }
 
-function quarantineEndMs(suspect: Suspect): number {
+function quarantineEndsAtMs(suspect: Suspect): number {
 	const further = suspect.crashes.size - crashesToQuarantine;
-	return lastCrashMs(suspect) + Math.min(longestQuarantineMs, firstQuarantineMs * (2 ** further));
+	return lastCrashAtMs(suspect) + Math.min(maxQuarantineMs, initialQuarantineMs * (2 ** further));
 }
 
 function compareSuspicion(a: Suspect, b: Suspect): number {
 	return b.crashes.size - a.crashes.size || b.changedAtMs - a.changedAtMs;
 }
 
-function toNews([fingerprint, {crashes, clearedAtMs}]: [number, Suspect], nowMs: number): SuspectNews {
+function toUpdate([fingerprint, {crashes, clearedAtMs}]: [number, Suspect], nowMs: number): SuspectNews {
 	return {
 		fingerprint,
-		crashes: [...crashes].toSorted(([, a], [, b]) => b - a).slice(0, mostToldCrashes).map(([backendKey, atMs]) => [backendKey, Math.round(nowMs - atMs)]),
+		crashes: [...crashes].toSorted(([, a], [, b]) => b - a).slice(0, maxGossipedCrashes).map(([backendKey, atMs]) => [backendKey, Math.round(nowMs - atMs)]),
 		clearedAgeMs: clearedAtMs === Number.NEGATIVE_INFINITY ? undefined : Math.round(nowMs - clearedAtMs),
 	};
 }
--- a/src/coordination/quarantine/request-fingerprint.ts
+++ b/src/coordination/quarantine/request-fingerprint.ts
@@ -1,28 +1,28 @@
-/** The identity of a request over its client's attempts, which all differ in their id. */
+/** Computes a fingerprint that is the same for all of a client's retries of a request, whose ids all differ. */
 import {createHash} from 'node:crypto';
 
-/** Bytes of the hash that are kept: a number holds them exactly, and two of a thousand requests share them once in 500 million times. */
+/** Number of bytes of the hash that are kept: a number holds them exactly, and among a thousand requests the probability of a collision is 1 in 500 million. */
 const fingerprintBytes = 6;
 
-/** What makes two attempts the same request. */
+/** The fields that two retries of the same request have in common. */
 export type RequestIdentity = {
 	/** Name of the client account; undefined where the route needs no key. */
 	account: string | undefined;
 	host: string;
 	method: string;
-	/** With the query. */
+	/** Includes the query. */
 	path: string;
 	body: Uint8Array;
 };
 
-/** The same number for every attempt of one request, at every daemon. */
-export function fingerprintOf({account, host, method, path, body}: RequestIdentity): number {
-	// A list keeps the parts apart, whatever they hold.
+/** Computes the fingerprint, which is the same for every retry of one request at every daemon. */
+export function computeFingerprint({account, host, method, path, body}: RequestIdentity): number {
+	// JSON keeps the fields apart, whatever they contain.
 	const head = JSON.stringify([account, host, method, path]);
 	return createHash('md5').update(head).update(body).digest().readUIntBE(0, fingerprintBytes);
 }
 
-/** How logs and dumps show a fingerprint. */
-export function describeFingerprint(fingerprint: number): string {
+/** Formats a fingerprint for logs and state dumps, as hexadecimal digits. */
+export function formatFingerprint(fingerprint: number): string {
 	return fingerprint.toString(16).padStart(fingerprintBytes * 2, '0');
 }
--- a/src/coordination/serving/__tests__/backend-choice.test.ts
+++ b/src/coordination/serving/__tests__/backend-selector.test.ts
@@ -9,9 +9,9 @@
 import {Quarantine} from '../../quarantine/quarantine.js';
 import {RepeatPurpose, RetryAllowance} from '../../retry-allowance.js';
 import {StatedLimits} from '../../stated-limits.js';
-import {BackendChoice} from '../backend-choice.js';
+import {BackendSelector} from '../backend-selector.js';
 import {ServedRequest} from '../served-request.js';
-import {Successors} from '../successors.js';
+import {RetryReservations} from '../retry-reservations.js';
 
 const route: Route = {
 	name: 'r', host: 'h', pathPrefix: '/', kind: RequestKind.Idempotent, timeoutMs: 1000, latencyTargetMs: 100, priority: 0, attempts: 2, isPublic: true, isResumable: false, targets: [],
@@ -33,8 +33,8 @@
 	configVersion: 1,
 });
 
-/** Two backend servers, of which `limited` stated its limit `statedMsAgo`. */
-function createChoice(isSender: boolean, statedMsAgo: number): {choice: BackendChoice; limits: StatedLimits; successors: Successors} {
+/** Creates a selector over two backend servers, of which `limited` stated its rate limit `statedMsAgo`. */
+function createSelector(isSender: boolean, statedMsAgo: number): {selector: BackendSelector; limits: StatedLimits; reservations: RetryReservations} {
 	const nowMs = 100_000;
 	const backends = new BackendTable({drainMs: 2000});
 	backends.upsert(backend('limited'), 0);
@@ -43,62 +43,62 @@
 	limits.noteStated('limited', 1, nowMs - statedMsAgo);
 	const clock = new SteadyClock({monotonicMs: () => nowMs, wallMs: () => nowMs, uptimeMs: () => nowMs});
 	const placement = new Placement('fd-a');
-	// The free one costs more, so that it is chosen only where the other may not be.
+	// The free one is more loaded, so it is selected only when the limited one is not allowed.
 	placement.begin('free', 0, [], nowMs);
 	const fleet = new FleetTable({name: 'd', failureDomain: 'fd-a', startedAtMs: 0});
 	const quarantine = new Quarantine(() => false);
-	const choice = new BackendChoice({
+	const selector = new BackendSelector({
 		backends, placement, fleet, quarantine, statedLimits: limits, clock,
 	});
 	const allowance = new RetryAllowance({ratio: 0, windowMs: 10_000, slack: 100});
-	const successors = new Successors({
-		choice, allowance, fleet, quarantine, clock,
+	const reservations = new RetryReservations({
+		selector, allowance, fleet, quarantine, clock,
 	});
-	return {choice, limits, successors};
+	return {selector, limits, reservations};
 }
 
 describe('BackendChoice', () => {
 	it.each([
 		{
-			name: 'the limited one while its limit leaves room', isSender: true, statedMsAgo: 500, excluded: [], expected: 'limited',
+			name: 'the rate-limited one while its limit allows a request', isSender: true, statedMsAgo: 500, excluded: [], expected: 'limited',
 		},
 		{
-			name: 'another one where others send to the limited one', isSender: false, statedMsAgo: 500, excluded: [], expected: 'free',
+			name: 'an unlimited one when other daemons send to the rate-limited one', isSender: false, statedMsAgo: 500, excluded: [], expected: 'free',
 		},
 		{
-			name: 'another one after the one that is due has failed the request', isSender: true, statedMsAgo: 5000, excluded: ['limited'], expected: 'free',
+			name: 'an unlimited one after the one whose limit needs confirming has failed the request', isSender: true, statedMsAgo: 5000, excluded: ['limited'], expected: 'free',
 		},
 		{
-			name: 'none where only a limited one is left that others send to', isSender: false, statedMsAgo: 500, excluded: ['free'], expected: undefined,
+			name: 'none when only a rate-limited one is left and other daemons send to it', isSender: false, statedMsAgo: 500, excluded: ['free'], expected: undefined,
 		},
-	])('takes $name', ({isSender, statedMsAgo, excluded, expected}) => {
-		const {choice} = createChoice(isSender, statedMsAgo);
+	])('selects $name', ({isSender, statedMsAgo, excluded, expected}) => {
+		const {selector} = createSelector(isSender, statedMsAgo);
 		const served = createRequest();
 		for (const id of excluded) {
 			served.excluded.add(id);
 		}
 
-		expect(choice.choose(served)?.backend.id).toBe(expected);
+		expect(selector.select(served)?.backend.id).toBe(expected);
 	});
 
-	it('passes over one that was chosen earlier and has reached its limit since', () => {
-		const {choice, limits} = createChoice(true, 500);
+	it('rejects a backend server that has reached its rate limit since it was selected, unless the request is already charged', () => {
+		const {selector, limits} = createSelector(true, 500);
 		const served = createRequest();
-		expect(choice.isUsable(served, backend('limited'), false)).toBe(true);
+		expect(selector.isUsable(served, backend('limited'), false)).toBe(true);
 		limits.noteSent('limited', 100_000);
-		expect(choice.isUsable(served, backend('limited'), false)).toBe(false);
-		expect(choice.isUsable(served, backend('limited'), true)).toBe(true);
+		expect(selector.isUsable(served, backend('limited'), false)).toBe(false);
+		expect(selector.isUsable(served, backend('limited'), true)).toBe(true);
 	});
 });
 
 describe('Successors', () => {
-	it('of streams that leave an engine together pass no limit, though none is sent yet', () => {
-		const {successors} = createChoice(true, 500);
-		const held = Array.from({length: 20}, () => {
+	it('reserves no more than its rate limit on a backend server for streams that leave an engine together', () => {
+		const {reservations} = createSelector(true, 500);
+		const reservedIds = Array.from({length: 20}, () => {
 			const served = createRequest();
-			expect(successors.hold(served, 'elsewhere', RepeatPurpose.Move, 0)).toBe(true);
-			return successors.heldBackend(served)!.id;
+			expect(reservations.reserve(served, 'elsewhere', RepeatPurpose.Move, 0)).toBe(true);
+			return reservations.reservedBackend(served)!.id;
 		});
-		expect(held.filter(id => id === 'limited')).toHaveLength(1);
+		expect(reservedIds.filter(id => id === 'limited')).toHaveLength(1);
 	});
 });
--- a/src/coordination/serving/__tests__/flight.test.ts
+++ b/src/coordination/serving/__tests__/forwarded-stream.test.ts
@@ -7,10 +7,10 @@
 import {BackendPool, exchange} from '../../../transport/backend-pool.js';
 import {Placement} from '../../placement.js';
 import {DispatchKind} from '../dispatcher.js';
-import {Flight, InterruptCause, PumpEnd} from '../flight.js';
+import {ForwardedStream, InterruptCause, RunEnd} from '../forwarded-stream.js';
 
-/** A client that takes one event and then none. */
-class HeldResponse extends Writable {
+/** A client that accepts one event and then stops reading. */
+class StalledResponse extends Writable {
 	headersSent = false;
 
 	constructor() {
@@ -22,12 +22,12 @@
 	}
 
 	override _write(): void {
-		// Never done.
+		// The write never completes.
 	}
 }
 
-describe('a stream that its client holds back', () => {
-	it('is not taken for whole when its run is closed with events unread', async () => {
+describe('a stream paused by a slow client', () => {
+	it('does not count as complete when its run is closed with events unread', async () => {
 		const server = createServer((_, response) => {
 			response.write('id: 1\ndata: x\n\n');
 			setTimeout(() => {
@@ -45,15 +45,15 @@
 		const answer = await exchange(pool, {
 			backend, method: 'GET', path: '/', headers: ['Host', 'x'], body: undefined, isRepeatable: true, connectMs: 1000, signal: abort.signal,
 		});
-		const flight = new Flight(undefined as never, new HeldResponse() as unknown as ServerResponse, () => undefined, () => 0);
-		const ended = flight.pump({
+		const stream = new ForwardedStream(undefined as never, new StalledResponse() as unknown as ServerResponse, () => undefined, () => 0);
+		const ended = stream.forwardRun({
 			kind: DispatchKind.Answer, backend, answer, abort, marks: undefined as never, running: new Placement('fd').begin('e', 0, [], 0), attempt: undefined as never,
 		});
 		await delay(100);
-		expect(flight.isPaused).toBe(true);
-		flight.interrupt(InterruptCause.Deadline);
-		expect(await ended).toBe(PumpEnd.Interrupted);
-		expect(flight.events).toBeLessThan(40);
+		expect(stream.isPaused).toBe(true);
+		stream.interrupt(InterruptCause.Deadline);
+		expect(await ended).toBe(RunEnd.Interrupted);
+		expect(stream.events).toBeLessThan(40);
 		pool.destroy();
 		server.close();
 	});
--- a/src/coordination/serving/dispatcher.ts
+++ b/src/coordination/serving/dispatcher.ts
@@ -1,6 +1,7 @@
 /**
- * Sends one request to one backend server: chooses it, opens the exchange, checks that the
- * answer belongs to the request, and says what is known of whether it ran.
+ * Sends one attempt of a request to a backend server: selects the backend server, opens the
+ * exchange, checks that the answer belongs to the request, and reports whether the request
+ * may have run.
  */
 import {type Dialect} from '../../protocol/platform.js';
 import {type AnswerMarks, type Backend} from '../../protocol/serving.js';
@@ -15,44 +16,44 @@
 import {type Quarantine} from '../quarantine/quarantine.js';
 import {type RepeatPurpose, type RetryAllowance} from '../retry-allowance.js';
 import {type StatedLimits} from '../stated-limits.js';
-import {BackendChoice} from './backend-choice.js';
+import {BackendSelector} from './backend-selector.js';
 import {type Attempt, type ServedRequest} from './served-request.js';
-import {Successors} from './successors.js';
+import {RetryReservations} from './retry-reservations.js';
 
 const log = createLogger('dispatch');
 
-/** Time for a connection to open, in milliseconds; a hundred round trips between failure domains. */
-const connectMs = 300;
-/** How often it is tried to hold what takes over from a late backend server, in milliseconds. */
-const holdPauseMs = 50;
-/** Reason of a dispatch whose connection did not open. */
-const unreachedReason = 'unreached';
-/** The status of an answer from another backend server than the one meant. */
-const misdirectedStatus = 421;
+/** Connection timeout in milliseconds: a hundred round trips between failure domains. */
+const connectTimeoutMs = 300;
+/** Interval in milliseconds at which a retry reservation is tried again after the soft timeout. */
+const reservationPollMs = 50;
+/** The reason given for a dispatch whose connection did not open. */
+const unreachableReason = 'unreached';
+/** HTTP 421 Misdirected Request: the address now belongs to a different backend server. */
+const misdirectedRequestStatus = 421;
 
-/** How a dispatch ended. */
+/** The outcome of a dispatch. */
 export enum DispatchKind {
-	/** An answer that belongs to the request has begun. */
+	/** The head of a valid answer has arrived. */
 	Answer = 'answer',
-	/** No backend server was left to try. */
+	/** No backend server is left to try. */
 	NoBackend = 'no-backend',
-	/** The backend server stated that it did not run the request, or was never reached. */
+	/** The backend server stated that it did not run the request, or no connection opened. */
 	NotRun = 'not-run',
-	/** It may have run. */
+	/** The request may have run. */
 	Unknown = 'unknown',
-	/** The bound on repeats forbids another arrival. */
-	NoAllowance = 'no-allowance',
-	/** Too many backend servers have crashed under it. */
+	/** The retry budget is used up. */
+	NoRetryBudget = 'no-allowance',
+	/** The request is quarantined, since too many backend servers crashed while running it. */
 	Quarantined = 'quarantined',
 }
 
-/** Whether no other backend server may be asked after a dispatch that ended so. */
+/** Whether a dispatch with this outcome rules out any further attempt. */
 export function isFinal(kind: DispatchKind): boolean {
-	return kind === DispatchKind.NoBackend || kind === DispatchKind.NoAllowance || kind === DispatchKind.Quarantined;
+	return kind === DispatchKind.NoBackend || kind === DispatchKind.NoRetryBudget || kind === DispatchKind.Quarantined;
 }
 
-/** An answer that has begun. */
-export type BegunAnswer = {
+/** An answer whose head has arrived and whose body is still to be read. */
+export type StartedAnswer = {
 	kind: DispatchKind.Answer;
 	backend: Backend;
 	answer: BackendAnswer;
@@ -63,26 +64,26 @@
 	abort: AbortController;
 };
 
-/** A dispatch that brought no answer. */
+/** A dispatch without a valid answer. */
 export type FailedDispatch = {kind: Exclude<DispatchKind, DispatchKind.Answer>; backend?: Backend; reason: string};
 
-/** What varies between the dispatches of one request. */
+/** Options that differ between the attempts of one request. */
 export type DispatchOptions = {
-	/** The only backend server that may take it; otherwise the best one is chosen. */
+	/** The only backend server to try; otherwise the best one is selected. */
 	target?: Backend;
 	lastEventId?: string;
 	kvSource?: string;
 	purpose: RepeatPurpose;
-	/** Time for the answer to begin, in milliseconds. */
-	beginMs: number;
-	/** Time after which another backend server takes over if one is held, in milliseconds; undefined where none may. */
-	patienceMs?: number;
-	/** Ends the dispatch before its answer has begun. */
+	/** Time until the head of the answer must arrive, in milliseconds. */
+	firstByteTimeoutMs: number;
+	/** Time in milliseconds after which the attempt is cancelled as soon as a retry is reserved; undefined when no retry is allowed. */
+	softTimeoutMs?: number;
+	/** Cancels the dispatch until the head of its answer has arrived. */
 	signal?: AbortSignal;
 };
 
-/** The parts a dispatcher works with. */
-export type DispatcherParts = {
+/** What a {@link Dispatcher} depends on. */
+export type DispatcherDependencies = {
 	dialect: Dialect;
 	backends: BackendTable;
 	placement: Placement;
@@ -97,102 +98,102 @@
 
 /** Sends requests to backend servers. */
 export class Dispatcher {
-	readonly choice: BackendChoice;
-	readonly successors: Successors;
+	readonly selector: BackendSelector;
+	readonly reservations: RetryReservations;
 
-	constructor(private readonly parts: DispatcherParts) {
-		this.choice = new BackendChoice(parts);
-		this.successors = new Successors({...parts, choice: this.choice});
+	constructor(private readonly dependencies: DispatcherDependencies) {
+		this.selector = new BackendSelector(dependencies);
+		this.reservations = new RetryReservations({...dependencies, selector: this.selector});
 	}
 
-	/** Sends a request once; a connection that does not open is no arrival, so the next backend server is tried. */
-	async send(served: ServedRequest, options: DispatchOptions): Promise<BegunAnswer | FailedDispatch> {
+	/** Sends one attempt of a request. If no connection opens, nothing was delivered, so the next backend server is tried. */
+	async send(served: ServedRequest, options: DispatchOptions): Promise<StartedAnswer | FailedDispatch> {
 		await served.crashCheck;
-		const {choice: candidates, successors} = this;
-		let planned = options.target ? {backend: options.target, costMs: 0, copyFrom: undefined} : served.successor?.choice;
-		let isClaimed = served.successor?.isClaimed ?? false;
+		const {selector, reservations} = this;
+		let preselected = options.target ? {backend: options.target, costMs: 0, copyFrom: undefined} : served.reservation?.choice;
+		let isRateLimitCharged = served.reservation?.isRateLimitCharged ?? false;
 		for (;;) {
-			if (successors.isForbidden(served)) {
+			if (reservations.isRetryForbidden(served)) {
 				return {kind: DispatchKind.Quarantined, reason: 'crashes backend servers'};
 			}
 
-			const isFixed = options.target !== undefined;
-			const isPlanUsable = planned !== undefined && (isFixed || candidates.isUsable(served, planned.backend, isClaimed));
-			const choice = isPlanUsable ? planned : candidates.choose(served);
-			isClaimed &&= isPlanUsable;
-			planned = undefined;
+			const hasFixedTarget = options.target !== undefined;
+			const isPreselectedUsable = preselected !== undefined && (hasFixedTarget || selector.isUsable(served, preselected.backend, isRateLimitCharged));
+			const choice = isPreselectedUsable ? preselected : selector.select(served);
+			isRateLimitCharged &&= isPreselectedUsable;
+			preselected = undefined;
 			if (!choice) {
 				return {kind: DispatchKind.NoBackend, reason: 'no backend server left'};
 			}
 
-			const nowMs = this.parts.clock.now();
-			if (served.arrivals > 0 && !served.successor && !successors.takePlace(served, options.purpose, nowMs)) {
-				return {kind: DispatchKind.NoAllowance, reason: `repeat allowance used up (${successors.describeAllowance(served)})`};
+			const nowMs = this.dependencies.clock.now();
+			if (served.deliveries > 0 && !served.reservation && !reservations.takeFromBudget(served, options.purpose, nowMs)) {
+				return {kind: DispatchKind.NoRetryBudget, reason: `repeat allowance used up (${reservations.describeBudget(served)})`};
 			}
 
-			// A place is used by an arrival, not by a connection that did not open: it stays held for the next choice.
-			const place = served.arrivals > 0 ? served.successor ?? {choice, heldAtMs: nowMs, isClaimed} : undefined;
-			if (place) {
-				served.successor = undefined;
+			// Only a delivered attempt uses its reservation: if the connection does not open, it is kept for the next selection.
+			const usedReservation = served.deliveries > 0 ? served.reservation ?? {choice, reservedAtMs: nowMs, isRateLimitCharged} : undefined;
+			if (usedReservation) {
+				served.reservation = undefined;
 			} else {
-				// One that was taken while a connection did not open: a first arrival needs none.
-				successors.release(served);
+				// It was made while an earlier connection did not open: the first delivery needs no retry budget.
+				reservations.release(served);
 			}
 
-			if (!isClaimed) {
-				candidates.claim(choice.backend);
+			if (!isRateLimitCharged) {
+				selector.chargeRateLimit(choice.backend);
 			}
 
-			isClaimed = false;
+			isRateLimitCharged = false;
 			// eslint-disable-next-line no-await-in-loop -- one backend server after the other.
 			const result = await this.sendTo(served, choice, options);
-			if (result.kind !== DispatchKind.NotRun || result.reason !== unreachedReason) {
+			if (result.kind !== DispatchKind.NotRun || result.reason !== unreachableReason) {
 				return result;
 			}
 
-			successors.keepPlace(served, place);
-			if (isFixed || served.inputs.signal.aborted || options.signal?.aborted) {
+			reservations.restore(served, usedReservation);
+			if (hasFixedTarget || served.inputs.signal.aborted || options.signal?.aborted) {
 				return result;
 			}
 		}
 	}
 
-	/** Notes that a backend server failed a request after it had begun to answer. */
-	noteFailure(served: ServedRequest, backendId: string): void {
+	/** Records that a backend server failed a request after the head of its answer had arrived. */
+	recordFailure(served: ServedRequest, backendId: string): void {
 		served.excluded.add(backendId);
-		this.parts.placement.noteFailure(backendId, this.parts.clock.now());
+		this.dependencies.placement.noteFailure(backendId, this.dependencies.clock.now());
 	}
 
-	/** Notes that a run broke off at its backend server; the next send waits until it is known whether that has ended. */
-	noteBroken(served: ServedRequest, backend: Backend): void {
-		served.crashCheck = this.parts.crashes.noteBroken(served.fingerprint, backend);
+	/** Records that a run broke off; the next attempt waits until it is known whether the backend server has crashed. */
+	recordBrokenRun(served: ServedRequest, backend: Backend): void {
+		served.crashCheck = this.dependencies.crashes.recordBrokenRun(served.fingerprint, backend);
 	}
 
-	/** Notes that a backend server gave a whole answer to a request. */
-	noteCompleted(served: ServedRequest): void {
-		const {quarantine, clock} = this.parts;
+	/** Records that a backend server answered a request completely. */
+	recordCompletedRun(served: ServedRequest): void {
+		const {quarantine, clock} = this.dependencies;
 		if (!quarantine.isEmpty) {
-			quarantine.noteCompleted(served.fingerprint, clock.now());
+			quarantine.recordCompletedRun(served.fingerprint, clock.now());
 		}
 	}
 
-	private async sendTo(served: ServedRequest, choice: Pick<Choice, 'backend' | 'costMs' | 'copyFrom'>, options: DispatchOptions): Promise<BegunAnswer | FailedDispatch> {
+	private async sendTo(served: ServedRequest, choice: Pick<Choice, 'backend' | 'costMs' | 'copyFrom'>, options: DispatchOptions): Promise<StartedAnswer | FailedDispatch> {
 		const {backend, costMs, copyFrom} = choice;
-		const {dialect, placement, pool, clock} = this.parts;
+		const {dialect, placement, pool, clock} = this.dependencies;
 		const {request, account, body, signal} = served.inputs;
 		const sentAtMs = clock.now();
 		const abort = new AbortController();
-		const giveUp = () => {
+		const cancel = () => {
 			abort.abort();
 		};
 
-		signal.addEventListener('abort', giveUp, {once: true});
-		options.signal?.addEventListener('abort', giveUp, {once: true});
-		const timer = setTimeout(giveUp, options.beginMs);
-		const stopWatching = this.watchLateness(served, backend.id, options, giveUp);
+		signal.addEventListener('abort', cancel, {once: true});
+		options.signal?.addEventListener('abort', cancel, {once: true});
+		const timer = setTimeout(cancel, options.firstByteTimeoutMs);
+		const clearSoftTimeout = this.startSoftTimeout(served, backend.id, options, cancel);
 		const running = placement.begin(backend.id, request.promptTokens ?? 0, request.promptParts, sentAtMs);
 		const attempt = {
-			backendId: backend.id, costMs: Math.round(costMs), atMs: Math.round(sentAtMs - served.inputs.arrivedAtMs), result: 'sent',
+			backendId: backend.id, costMs: Math.round(costMs), sentAfterMs: Math.round(sentAtMs - served.inputs.arrivedAtMs), result: 'sent',
 		};
 		served.attempts.push(attempt);
 		const fail = (failure: FailedDispatch): FailedDispatch => {
@@ -217,22 +218,22 @@
 					copyFrom,
 				}),
 				body,
-				isRepeatable: served.isRepeatable,
-				connectMs: Math.min(connectMs, options.beginMs),
+				isRepeatable: served.isRetryable,
+				connectMs: Math.min(connectTimeoutMs, options.firstByteTimeoutMs),
 				signal: abort.signal,
 			});
-			served.arrivals++;
-			return this.judge(served, {
+			served.deliveries++;
+			return this.classifyAnswer(served, {
 				backend, answer, running, attempt, abort,
 			}, options, fail);
 		} catch (error) {
 			if (error instanceof ConnectError) {
 				placement.noteFailure(backend.id, clock.now());
-				log.debug('backend server not reached.', {backend: backend.id, error: String(error)});
-				return fail({kind: DispatchKind.NotRun, reason: unreachedReason});
+				log.debug('connection to the backend server failed.', {backend: backend.id, error: String(error)});
+				return fail({kind: DispatchKind.NotRun, reason: unreachableReason});
 			}
 
-			served.arrivals++;
+			served.deliveries++;
 			served.mayHaveRun = true;
 			served.runs++;
 			if (!signal.aborted && !options.signal?.aborted) {
@@ -240,55 +241,55 @@
 			}
 
 			if (!abort.signal.aborted) {
-				this.noteBroken(served, backend);
+				this.recordBrokenRun(served, backend);
 			}
 
 			return fail({kind: DispatchKind.Unknown, reason: signal.aborted ? 'client gone' : (abort.signal.aborted ? 'silent' : 'broken')});
 		} finally {
 			clearTimeout(timer);
-			stopWatching();
+			clearSoftTimeout();
 		}
 	}
 
-	/** Ends a dispatch whose answer is late as soon as another backend server is held for it; returns what ends the watch. */
-	private watchLateness(served: ServedRequest, backendId: string, {patienceMs, purpose}: DispatchOptions, giveUp: () => void): () => void {
-		if (patienceMs === undefined) {
+	/** After the soft timeout, cancels an attempt as soon as a retry is reserved for its request; returns a function that stops the timer. */
+	private startSoftTimeout(served: ServedRequest, backendId: string, {softTimeoutMs, purpose}: DispatchOptions, cancel: () => void): () => void {
+		if (softTimeoutMs === undefined) {
 			return () => undefined;
 		}
 
-		const look = () => {
-			if (this.successors.hold(served, backendId, purpose, this.parts.clock.now())) {
-				giveUp();
+		const tryReserve = () => {
+			if (this.reservations.reserve(served, backendId, purpose, this.dependencies.clock.now())) {
+				cancel();
 			} else {
-				timer = setTimeout(look, holdPauseMs);
+				timer = setTimeout(tryReserve, reservationPollMs);
 			}
 		};
 
-		let timer = setTimeout(look, patienceMs);
+		let timer = setTimeout(tryReserve, softTimeoutMs);
 		return () => {
 			clearTimeout(timer);
 		};
 	}
 
-	/** Checks that an answer belongs to the request and what it says of the run. */
-	private judge(served: ServedRequest, begun: Omit<BegunAnswer, 'kind' | 'marks'>, options: DispatchOptions, fail: (failure: FailedDispatch) => FailedDispatch): BegunAnswer | FailedDispatch {
-		const {dialect, backends, placement, clock} = this.parts;
-		const {backend, answer} = begun;
+	/** Checks that an answer belongs to the request, and applies what its headers state of the run, the load and the rate limit. */
+	private classifyAnswer(served: ServedRequest, started: Omit<StartedAnswer, 'kind' | 'marks'>, options: DispatchOptions, fail: (failure: FailedDispatch) => FailedDispatch): StartedAnswer | FailedDispatch {
+		const {dialect, backends, placement, clock} = this.dependencies;
+		const {backend, answer} = started;
 		const marks = dialect.readAnswer(answer.response.headers);
 		const nowMs = clock.now();
 		if (marks.load) {
 			placement.noteLoad(backend.id, marks.load, nowMs);
 		}
 
-		const isOwn = marks.requestId === served.inputs.request.id && marks.isSealed && !marks.isEncoded;
-		if (isOwn || (marks.limitPerSecond !== undefined && answer.status !== misdirectedStatus)) {
-			this.parts.statedLimits.noteStated(backend.id, marks.limitPerSecond, nowMs);
+		const isValid = marks.requestId === served.inputs.request.id && marks.isSealed && !marks.isEncoded;
+		if (isValid || (marks.limitPerSecond !== undefined && answer.status !== misdirectedRequestStatus)) {
+			this.dependencies.statedLimits.noteStated(backend.id, marks.limitPerSecond, nowMs);
 		}
 
-		if (answer.status === misdirectedStatus || marks.isNotRun) {
-			if (answer.status === misdirectedStatus) {
+		if (answer.status === misdirectedRequestStatus || marks.isNotRun) {
+			if (answer.status === misdirectedRequestStatus) {
 				backends.replaced(backend.id, nowMs);
-				log.info('another backend server has its address.', {backend: backend.id});
+				log.info('address now belongs to another backend server.', {backend: backend.id});
 			} else {
 				placement.noteFailure(backend.id, nowMs);
 			}
@@ -298,14 +299,14 @@
 		}
 
 		served.mayHaveRun = true;
-		// A moved run goes on; it is no second one.
+		// A moved run continues, so it does not count as another run.
 		served.runs += options.kvSource === undefined ? 1 : 0;
-		if (!isOwn) {
+		if (!isValid) {
 			placement.noteFailure(backend.id, nowMs);
 			answer.destroy();
 			return fail({kind: DispatchKind.Unknown, reason: `not its answer (status ${answer.status})`});
 		}
 
-		return {...begun, kind: DispatchKind.Answer, marks};
+		return {...started, kind: DispatchKind.Answer, marks};
 	}
 }
--- a/src/coordination/serving/final-answers.ts
+++ b/src/coordination/serving/final-answers.ts
@@ -1,19 +1,19 @@
 /**
- * The daemon's own final answers. 429 and 503 promise that the request has not run and
- * never will; 502 and 504 promise nothing.
+ * Writes the final answers to clients. 429 and 503 guarantee that the request has not run and
+ * never will; 502 and 504 guarantee nothing.
  */
 import {type ServerResponse} from 'node:http';
 import {connectionHeaders} from '../../transport/connection-headers.js';
 import {writeOwnAnswer} from '../../transport/front-server.js';
 
-/** Shortest and longest Retry-After after a refusal, in milliseconds. */
-const shortestReturnMs = 150;
-const longestReturnMs = 2000;
-/** Share of the client's time left after which it should return: clients wait at most a third of it. */
-const returnShare = 0.25;
+/** Bounds of the Retry-After of a refusal, in milliseconds. */
+const minRetryAfterMs = 150;
+const maxRetryAfterMs = 2000;
+/** Upper bound of Retry-After, as a share of the client's remaining time: clients wait at most a third of it. */
+const retryAfterShare = 0.25;
 
-/** The headers of a backend server's answer that go on to the client, as name and value by turns. */
-export function passedHeaders(rawHeaders: string[]): string[] {
+/** Returns the headers of a backend server's answer that are forwarded to the client, as alternating names and values. */
+export function filterForwardedHeaders(rawHeaders: string[]): string[] {
 	const headers: string[] = [];
 	for (let index = 0; index < rawHeaders.length; index += 2) {
 		if (!connectionHeaders.has(rawHeaders[index].toLowerCase())) {
@@ -24,25 +24,25 @@
 	return headers;
 }
 
-/** When a refused client should return: spread out, and early enough that it still has time. */
-export function returnAfterMs(remainingMs: number, wantedMs: number): number {
-	const mostMs = Math.min(longestReturnMs, Math.max(shortestReturnMs, remainingMs * returnShare));
-	return spreadReturn(Math.min(mostMs, Math.max(shortestReturnMs, wantedMs)));
+/** Chooses the Retry-After of a refusal in milliseconds: with jitter, and short enough that the client still has time for a retry. */
+export function chooseRetryAfterMs(remainingMs: number, desiredMs: number): number {
+	const maxMs = Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, remainingMs * retryAfterShare));
+	return addRetryJitter(Math.min(maxMs, Math.max(minRetryAfterMs, desiredMs)));
 }
 
-/** Spreads the return of clients that were refused together: later by up to a quarter. */
-export function spreadReturn(afterMs: number): number {
-	return afterMs * (1 + (Math.random() / 4));
+/** Adds up to a quarter of jitter, so that clients that were refused together do not retry together. */
+export function addRetryJitter(retryAfterMs: number): number {
+	return retryAfterMs * (1 + (Math.random() / 4));
 }
 
-/** Refuses a request that has not run and never will. */
-export function refuse(response: ServerResponse, status: 429 | 503, reason: string, retryAfterMs: number): void {
+/** Writes a refusal: the request has not run and never will. */
+export function writeRefusal(response: ServerResponse, status: 429 | 503, reason: string, retryAfterMs: number): void {
 	writeOwnAnswer(response, status, reason, {'Retry-After': (retryAfterMs / 1000).toFixed(2)});
 }
 
-/** Passes on a whole answer of a backend server. */
-export function passWhole(response: ServerResponse, status: number, statusText: string, rawHeaders: string[], body: Uint8Array): void {
-	const headers = passedHeaders(rawHeaders);
+/** Writes the complete answer of a backend server. */
+export function writeBackendAnswer(response: ServerResponse, status: number, statusText: string, rawHeaders: string[], body: Uint8Array): void {
+	const headers = filterForwardedHeaders(rawHeaders);
 	const hasBody = status !== 204 && status !== 304;
 	response.writeHead(status, statusText, hasBody ? [...headers, 'Content-Length', String(body.length)] : headers);
 	response.end(hasBody ? body : undefined);
--- /dev/null
+++ b/src/coordination/serving/forwarded-stream.ts
@@ -0,0 +1,226 @@
+/** Forwards one stream of events from an engine to a client; the engine may change on the way. */
+import {type ServerResponse} from 'node:http';
+import {type MovedRun} from '../../protocol/platform.js';
+import {type Backend} from '../../protocol/serving.js';
+import {EventSplitter, type RawEvent} from '../../transport/event-splitter.js';
+import {type StartedAnswer} from './dispatcher.js';
+import {filterForwardedHeaders} from './final-answers.js';
+import {type ServedRequest} from './served-request.js';
+
+/** How one engine's run of the stream ended. */
+export enum RunEnd {
+	Complete = 'complete',
+	Broken = 'broken',
+	/** Events are missing between the last one delivered and the one received. */
+	Gap = 'gap',
+	/** The daemon closed the run itself. */
+	Interrupted = 'interrupted',
+}
+
+/** Why the daemon closed a run itself. */
+export enum InterruptCause {
+	/** No event was received for too long. */
+	Silent = 'silent',
+	/** The engine is leaving, and the run cannot be moved. */
+	Leaving = 'engine leaves',
+	/** The engine has restarted and has lost the run. */
+	Restarted = 'engine restarted',
+	/** The request's deadline has passed. */
+	Deadline = 'deadline',
+}
+
+/** A stream whose KV cache was moved to the target engine. */
+export type MovedStream = {target: Backend; run: MovedRun};
+
+/** A run that is being started at another engine to replace the current one. */
+export type Takeover = {cause: InterruptCause; startedAtMs: number; abort: AbortController; run: Promise<StartedAnswer | undefined>};
+
+/** A stream that is being forwarded, across all of its runs. */
+export class ForwardedStream {
+	/** The run whose events are being forwarded. */
+	currentRun: StartedAnswer | undefined;
+	/** When the last event was received, or the run began. */
+	lastProgressAtMs = 0;
+	/** When the first event of the stream was received. */
+	firstEventAtMs: number | undefined;
+	events = 0;
+	/** Id of the last event delivered to the client. */
+	lastEventId: string | undefined;
+	/** Set while the run is being moved to another engine. */
+	pendingMove: Promise<MovedStream | undefined> | undefined;
+	/** Whether moving the run failed; its engine then serves it as long as it can. */
+	hasMoveFailed = false;
+	/** Set while another engine is being asked to continue the stream. */
+	takeover: Takeover | undefined;
+	/** Whether it has been logged that no takeover is possible, so that this is logged once only. */
+	hasLoggedNoTakeover = false;
+	private interruptCause: InterruptCause | undefined;
+
+	constructor(
+		readonly served: ServedRequest,
+		private readonly response: ServerResponse,
+		private readonly onFirstEvent: () => void,
+		private readonly now: () => number,
+	) {}
+
+	/** Whether reading from the engine is paused, since the client reads more slowly than events arrive. */
+	get isPaused(): boolean {
+		return this.response.writableNeedDrain;
+	}
+
+	get isHeadSent(): boolean {
+		return this.response.headersSent;
+	}
+
+	/** Estimates the remaining time of the stream in milliseconds, from its event rate and the client's token estimate or maximum; undefined before there are two events, or without either token count. */
+	expectedRemainingMs(tokensPerEvent: number): number | undefined {
+		const {expectedOutputTokens, maxOutputTokens} = this.served.inputs.request;
+		const tokens = expectedOutputTokens ?? maxOutputTokens;
+		if (tokens === undefined || this.firstEventAtMs === undefined || this.events < 2) {
+			return undefined;
+		}
+
+		const msPerEvent = (this.lastProgressAtMs - this.firstEventAtMs) / (this.events - 1);
+		return Math.max(0, (tokens / tokensPerEvent) - this.events) * msPerEvent;
+	}
+
+	/** Whether the last run was closed because its engine had restarted. */
+	get hasEngineRestarted(): boolean {
+		return this.interruptCause === InterruptCause.Restarted;
+	}
+
+	/** Closes the connection of the current run. */
+	interrupt(cause: InterruptCause): void {
+		if (this.currentRun) {
+			this.interruptCause = cause;
+			this.currentRun.abort.abort();
+		}
+	}
+
+	/** Waits for the takeover in progress; returns the run that another engine has started, if any. */
+	async awaitTakeover(): Promise<StartedAnswer | undefined> {
+		const run = await this.takeover?.run;
+		this.takeover = undefined;
+		return run;
+	}
+
+	/** Cancels a takeover that is not needed. */
+	async cancelTakeover(): Promise<void> {
+		this.takeover?.abort.abort();
+		const run = await this.awaitTakeover();
+		if (run) {
+			closeRun(run);
+		}
+	}
+
+	/** Describes how a run ended, why the daemon closed it if it did, and how long it had been silent. */
+	describeEnd(end: RunEnd): string {
+		const by = end === RunEnd.Interrupted ? `${end}, ${this.interruptCause}` : end;
+		return `${by}, after ${this.events} events and ${Math.round(this.now() - this.lastProgressAtMs)} ms of silence`;
+	}
+
+	/** Forwards the events of one run until it ends. */
+	async forwardRun(run: StartedAnswer): Promise<RunEnd> {
+		const {answer} = run;
+		const {response: source} = answer;
+		const splitter = new EventSplitter();
+		this.currentRun = run;
+		this.interruptCause = undefined;
+		this.hasMoveFailed = false;
+		this.lastProgressAtMs = this.now();
+		return new Promise(resolve => {
+			let hasEnded = false;
+			const end = (result: RunEnd) => {
+				if (!hasEnded) {
+					hasEnded = true;
+					this.currentRun = undefined;
+					run.running.end();
+					if (result !== RunEnd.Complete) {
+						answer.destroy();
+					}
+
+					resolve(result);
+				}
+			};
+
+			source.on('data', (chunk: Uint8Array) => {
+				for (const event of hasEnded ? [] : splitter.push(chunk)) {
+					if (!this.deliver(event, run)) {
+						end(RunEnd.Gap);
+						return;
+					}
+				}
+
+				if (this.response.writableNeedDrain) {
+					source.pause();
+					this.response.once('drain', () => {
+						source.resume();
+					});
+				}
+			});
+			const endAsBroken = () => {
+				end(this.interruptCause === undefined ? RunEnd.Broken : RunEnd.Interrupted);
+			};
+
+			source.once('end', () => {
+				// An answer that is closed while paused by a slow client ends as if it were complete, with its last events unread.
+				const isClosed = this.interruptCause !== undefined || run.abort.signal.aborted;
+				if (isClosed || !answer.isWhole || splitter.hasPartial) {
+					endAsBroken();
+					return;
+				}
+
+				// A resumed stream may have no events left, and its answer is complete all the same.
+				this.writeHead(run);
+				end(RunEnd.Complete);
+			});
+			source.once('error', endAsBroken);
+			source.once('close', endAsBroken);
+			if (source.destroyed) {
+				// It broke off while the previous run was being closed.
+				endAsBroken();
+			}
+		});
+	}
+
+	/** Writes the head of the engine's answer once: a stream that continues at another engine keeps the first head. */
+	private writeHead(run: StartedAnswer): void {
+		if (!this.response.headersSent) {
+			const {response: head} = run.answer;
+			this.response.writeHead(run.answer.status, head.statusMessage ?? '', filterForwardedHeaders(head.rawHeaders));
+		}
+	}
+
+	/** Writes one event to the client, skipping those already delivered; returns false when an earlier event is missing. */
+	private deliver(event: RawEvent, run: StartedAnswer): boolean {
+		this.lastProgressAtMs = this.now();
+		if (event.id !== undefined && this.lastEventId !== undefined) {
+			const expected = Number(this.lastEventId) + 1;
+			if (Number(event.id) < expected) {
+				return true;
+			}
+
+			if (Number(event.id) > expected) {
+				return false;
+			}
+		}
+
+		if (this.events === 0) {
+			this.firstEventAtMs = this.lastProgressAtMs;
+			this.onFirstEvent();
+		}
+
+		run.running.noteRead();
+		this.writeHead(run);
+		this.events++;
+		this.lastEventId = event.id ?? this.lastEventId;
+		this.response.write(event.bytes);
+		return true;
+	}
+}
+
+/** Closes a run that has started and whose events are not needed. */
+export function closeRun({running, answer}: StartedAnswer): void {
+	running.end();
+	answer.destroy();
+}
--- a/src/coordination/serving/forwarder.ts
+++ b/src/coordination/serving/forwarder.ts
@@ -1,7 +1,8 @@
 /**
- * Decides on each caller's request: whether the daemon's view is young enough to serve it,
- * which route and client account it belongs to, whether it is within its limits, and how
- * its end is told to the client. One log line says what was decided, from what.
+ * Handles each client request: checks that the daemon's view of the configuration is recent
+ * enough, finds the route and the client account, enforces the account's limit, forwards the
+ * request, and writes the final answer. One log line per request states the outcome and what
+ * it was based on.
  */
 import {type Dialect} from '../../protocol/platform.js';
 import {
@@ -14,14 +15,14 @@
 import {type FrontRequest, writeOwnAnswer} from '../../transport/front-server.js';
 import {createLogger} from '../../log.js';
 import {type Quarantine} from '../quarantine/quarantine.js';
-import {describeFingerprint, fingerprintOf} from '../quarantine/request-fingerprint.js';
+import {formatFingerprint, computeFingerprint} from '../quarantine/request-fingerprint.js';
 import {type QuotaLedger, type QuotaPeers, requestCost} from '../quota-ledger.js';
 import {type RetryAllowance} from '../retry-allowance.js';
 import {type UsageLedger} from '../usage-ledger.js';
-import {type CallResult, forwardCall} from './call-forwarding.js';
+import {type UnaryResult, forwardUnary} from './unary-forwarding.js';
 import {type Dispatcher} from './dispatcher.js';
 import {
-	passWhole, refuse, returnAfterMs, spreadReturn,
+	writeBackendAnswer, writeRefusal, chooseRetryAfterMs, addRetryJitter,
 } from './final-answers.js';
 import {ServedRequest} from './served-request.js';
 import {forwardStream, type StreamResult} from './stream-forwarding.js';
@@ -30,10 +31,10 @@
 
 const log = createLogger('request');
 
-/** How a request ended, as the logs and counters name it. */
+/** The outcome of a request, as it appears in logs and metrics. */
 export enum Outcome {
 	Served = 'served',
-	/** A failure of the backend server was passed on. */
+	/** An error answer of a backend server was passed on. */
 	BackendFailure = 'backend-failure',
 	Refused = 'refused',
 	Unknown = 'unknown',
@@ -42,14 +43,14 @@
 	Rejected = 'rejected',
 }
 
-/** The parts a forwarder works with. */
-export type ForwarderParts = {
+/** What a {@link Forwarder} depends on. */
+export type ForwarderDependencies = {
 	dialect: Dialect;
 	routes: RouteTable;
 	belief: Belief;
-	/** Age beyond which the view may miss a revoked key, in milliseconds. */
+	/** Age of the view in milliseconds beyond which a key that it lists may have been revoked. */
 	mostBeliefMs: number;
-	/** Age beyond which the view may miss an added route or key, in milliseconds: what it does not know is then refused for now only. */
+	/** Age of the view in milliseconds beyond which it may lack an added route or key: an unknown one is then answered with 503 instead of 404 or 401. */
 	mostDenialMs: number;
 	dispatcher: Dispatcher;
 	registry: StreamRegistry;
@@ -58,22 +59,22 @@
 	allowance: RetryAllowance;
 	quarantine: Quarantine;
 	clock: SteadyClock;
-	/** What is known of the other daemons now. */
+	/** Returns what is known of the other daemons that share the limits. */
 	quotaPeers: (nowMs: number) => QuotaPeers;
-	/** Open once the configuration and the backend servers are known. */
+	/** Opens once the configuration and the backend servers have been read. */
 	firstView: Gate;
 	metrics: RequestMetrics;
 };
 
-/** Delay estimate beyond which a stream is refused, as a share of the time it has left: it would not begin in time. */
-const hopelessShare = 0.8;
-/** A wait proposed to clients while the view is too old or no backend server is there, in milliseconds. */
-const outageReturnMs = 800;
+/** Share of a stream's remaining time: with a longer estimated wait, it is refused, since it would not begin in time. */
+const maxWaitShare = 0.8;
+/** Retry-After in milliseconds while the view is too old or no backend server is available. */
+const outageRetryAfterMs = 800;
 
-/** How long a request waits for a daemon that has just started to read its configuration, in milliseconds: a read takes 70 after a start; a refusal would cost the client its one return. */
-const firstViewMs = 400;
-/** Timers fire up to this much early, in milliseconds. */
-const lateMarginMs = 5;
+/** How long a request waits for a daemon that has just started to read its configuration, in milliseconds. The read takes 70 ms; a refusal would use up the client's only retry. */
+const initialViewWaitMs = 400;
+/** Timers may fire up to this many milliseconds early. */
+const timerToleranceMs = 5;
 
 type Admission = {route: Route; account: Account | undefined; service: string; cost: number; fingerprint: number | undefined};
 type Rejection = {status: number; reason: string; retryAfterMs?: number};
@@ -82,12 +83,12 @@
 	return 'status' in value;
 }
 
-/** Serves callers' requests. */
+/** Serves client requests. */
 export class Forwarder {
-	constructor(private readonly parts: ForwarderParts) {}
+	constructor(private readonly dependencies: ForwarderDependencies) {}
 
 	async handle(front: FrontRequest): Promise<void> {
-		const {dialect, clock, routes, firstView} = this.parts;
+		const {dialect, clock, routes, firstView} = this.dependencies;
 		const arrivedAtMs = clock.now();
 		const request = dialect.readRequest(front.method, front.path, front.rawHeaders);
 		if (!request || request.id === '') {
@@ -95,7 +96,7 @@
 			return;
 		}
 
-		await firstView.wait(firstViewMs);
+		await firstView.wait(initialViewWaitMs);
 		const admission = this.admit(request, front.body, arrivedAtMs);
 		if (isRejection(admission)) {
 			this.reject(front, request.id, admission, arrivedAtMs);
@@ -109,25 +110,25 @@
 			request, route, service, account, body: front.body, response: front.response, signal: front.signal, arrivedAtMs, configVersion: routes.version!, fingerprint,
 		});
 		try {
-			await (route.kind === RequestKind.Streaming ? this.serveStream(served, front) : this.serveCall(served, front));
+			await (route.kind === RequestKind.Streaming ? this.serveStream(served, front) : this.serveUnary(served, front));
 		} finally {
 			if (!served.mayHaveRun && account) {
-				this.parts.quota.refund(account, cost, clock.now());
+				this.dependencies.quota.refund(account, cost, clock.now());
 			}
 		}
 	}
 
-	/** Finds the route and account of a request and takes its cost from the limit. */
+	/** Finds the route and the account of a request and charges its cost to the account's limit. */
 	private admit(request: CallerRequest, body: Uint8Array, nowMs: number): Admission | Rejection {
 		const {
 			routes, belief, mostBeliefMs, mostDenialMs, quota, quotaPeers, allowance, quarantine,
-		} = this.parts;
+		} = this.dependencies;
 		if (!routes.current) {
-			return {status: 503, reason: 'configuration not known yet', retryAfterMs: outageReturnMs};
+			return {status: 503, reason: 'configuration not known yet', retryAfterMs: outageRetryAfterMs};
 		}
 
 		const viewAgeMs = belief.ageMs(nowMs);
-		const outdated: Rejection = {status: 503, reason: 'configuration too old', retryAfterMs: outageReturnMs};
+		const outdated: Rejection = {status: 503, reason: 'configuration too old', retryAfterMs: outageRetryAfterMs};
 		const route = routes.match(request.host, request.path);
 		if (!route) {
 			return viewAgeMs > mostDenialMs ? outdated : {status: 404, reason: 'no such route'};
@@ -145,15 +146,15 @@
 			}
 		}
 
-		const service = pickTarget(route);
+		const service = pickService(route);
 		if (service === undefined) {
-			return {status: 503, reason: 'route without a service', retryAfterMs: outageReturnMs};
+			return {status: 503, reason: 'route without a service', retryAfterMs: outageRetryAfterMs};
 		}
 
-		const fingerprint = this.suspectFingerprint(request, body, account);
+		const fingerprint = this.fingerprintIfSuspected(request, body, account);
 		const quarantined = fingerprint === undefined ? undefined : quarantine.admit(fingerprint, nowMs);
 		if (quarantined) {
-			return {status: 503, reason: `${quarantined.crashes} backend servers crashed under request ${describeFingerprint(fingerprint!)}`, retryAfterMs: quarantined.returnAfterMs};
+			return {status: 503, reason: `${quarantined.crashes} backend servers crashed under request ${formatFingerprint(fingerprint!)}`, retryAfterMs: quarantined.retryAfterMs};
 		}
 
 		const cost = account ? requestCost(account, request.promptTokens, request.maxOutputTokens) : 0;
@@ -169,124 +170,124 @@
 		};
 	}
 
-	/** A request's identity while any request is suspected of crashing backend servers; otherwise none is hashed. */
-	private suspectFingerprint({host, method, path}: CallerRequest, body: Uint8Array, account: Account | undefined): number | undefined {
-		if (this.parts.quarantine.isEmpty) {
+	/** Returns the request's fingerprint while any request is suspected of crashing backend servers; otherwise undefined, which saves the hashing. */
+	private fingerprintIfSuspected({host, method, path}: CallerRequest, body: Uint8Array, account: Account | undefined): number | undefined {
+		if (this.dependencies.quarantine.isEmpty) {
 			return undefined;
 		}
 
-		return fingerprintOf({
+		return computeFingerprint({
 			account: account?.name, host, method, path, body,
 		});
 	}
 
 	private reject(front: FrontRequest, id: string, rejection: Rejection, nowMs: number): void {
 		const {status, reason, retryAfterMs} = rejection;
-		const {routes, belief, metrics} = this.parts;
+		const {routes, belief, metrics} = this.dependencies;
 		if (status === 429 || status === 503) {
-			refuse(front.response, status, reason, spreadReturn(retryAfterMs ?? outageReturnMs));
+			writeRefusal(front.response, status, reason, addRetryJitter(retryAfterMs ?? outageRetryAfterMs));
 		} else {
 			writeOwnAnswer(front.response, status, reason);
 		}
 
-		metrics.finish('none', Outcome.Rejected, 0);
+		metrics.recordRequest('none', Outcome.Rejected, 0);
 		log.info('rejected.', {
 			request: id, status, reason, configVersion: routes.version, viewAgeMs: Math.round(belief.ageMs(nowMs)),
 		});
 	}
 
-	private async serveCall(served: ServedRequest, front: FrontRequest): Promise<void> {
-		const {dispatcher, clock} = this.parts;
-		const result = await forwardCall(dispatcher, served, () => {
-			this.countBegun(served);
+	private async serveUnary(served: ServedRequest, front: FrontRequest): Promise<void> {
+		const {dispatcher, clock} = this.dependencies;
+		const result = await forwardUnary(dispatcher, served, () => {
+			this.countUsage(served);
 		}, () => clock.now());
-		this.answerCall(served, front, result);
+		this.writeFinalAnswer(served, front, result);
 	}
 
 	private async serveStream(served: ServedRequest, front: FrontRequest): Promise<void> {
-		const {dispatcher, registry, clock} = this.parts;
+		const {dispatcher, registry, clock} = this.dependencies;
 		const nowMs = clock.now();
-		const choice = dispatcher.choice.choose(served);
-		if (choice && choice.waitMs > served.remainingMs(nowMs) * hopelessShare) {
-			this.finishRefused(served, front, `would wait ${Math.round(choice.waitMs)} ms`);
+		const choice = dispatcher.selector.select(served);
+		if (choice && choice.waitMs > served.remainingMs(nowMs) * maxWaitShare) {
+			this.refuseServed(served, front, `would wait ${Math.round(choice.waitMs)} ms`);
 			return;
 		}
 
 		const result = await forwardStream({dispatcher, registry, now: () => clock.now()}, served, front.response, () => {
-			this.countBegun(served);
+			this.countUsage(served);
 		});
 		if (result.kind === 'complete') {
 			front.response.end();
-			this.conclude(served, Outcome.Served, {events: result.events});
+			this.recordOutcome(served, Outcome.Served, {events: result.events});
 		} else if (result.kind === 'broken') {
 			front.response.destroy();
-			this.conclude(served, front.signal.aborted ? Outcome.ClientGone : Outcome.Broken, {events: result.events, reason: result.reason});
+			this.recordOutcome(served, front.signal.aborted ? Outcome.ClientGone : Outcome.Broken, {events: result.events, reason: result.reason});
 		} else {
-			this.answerCall(served, front, result);
+			this.writeFinalAnswer(served, front, result);
 		}
 	}
 
-	/** Writes the final answer of a request that delivered nothing yet. */
-	private answerCall(served: ServedRequest, front: FrontRequest, result: CallResult | Exclude<StreamResult, {kind: 'complete' | 'broken'}>): void {
+	/** Writes the final answer of a request of which nothing has been sent to the client yet. */
+	private writeFinalAnswer(served: ServedRequest, front: FrontRequest, result: UnaryResult | Exclude<StreamResult, {kind: 'complete' | 'broken'}>): void {
 		if (front.signal.aborted) {
-			this.conclude(served, Outcome.ClientGone, {});
+			this.recordOutcome(served, Outcome.ClientGone, {});
 			return;
 		}
 
 		if (result.kind === 'answer') {
 			const {answer} = result;
-			passWhole(front.response, answer.status, answer.statusText, answer.rawHeaders, answer.body);
-			this.conclude(served, answer.status < 400 ? Outcome.Served : Outcome.BackendFailure, {status: answer.status});
+			writeBackendAnswer(front.response, answer.status, answer.statusText, answer.rawHeaders, answer.body);
+			this.recordOutcome(served, answer.status < 400 ? Outcome.Served : Outcome.BackendFailure, {status: answer.status});
 		} else if (result.kind === 'not-run') {
-			this.finishRefused(served, front, result.reason);
+			this.refuseServed(served, front, result.reason);
 		} else {
-			const isLate = served.remainingMs(this.parts.clock.now()) <= lateMarginMs;
+			const isLate = served.remainingMs(this.dependencies.clock.now()) <= timerToleranceMs;
 			writeOwnAnswer(front.response, isLate ? 504 : 502, result.reason);
-			this.conclude(served, Outcome.Unknown, {status: isLate ? 504 : 502, reason: result.reason});
+			this.recordOutcome(served, Outcome.Unknown, {status: isLate ? 504 : 502, reason: result.reason});
 		}
 	}
 
-	private finishRefused(served: ServedRequest, front: FrontRequest, reason: string): void {
-		const {dispatcher, clock} = this.parts;
+	private refuseServed(served: ServedRequest, front: FrontRequest, reason: string): void {
+		const {dispatcher, clock} = this.dependencies;
 		const nowMs = clock.now();
-		const retryAfterMs = returnAfterMs(served.remainingMs(nowMs), dispatcher.choice.limitReturnMs(served, nowMs) ?? outageReturnMs);
-		refuse(front.response, 503, reason, retryAfterMs);
-		this.conclude(served, Outcome.Refused, {status: 503, reason});
+		const retryAfterMs = chooseRetryAfterMs(served.remainingMs(nowMs), dispatcher.selector.rateLimitWaitMs(served, nowMs) ?? outageRetryAfterMs);
+		writeRefusal(front.response, 503, reason, retryAfterMs);
+		this.recordOutcome(served, Outcome.Refused, {status: 503, reason});
 	}
 
-	private countBegun(served: ServedRequest): void {
+	private countUsage(served: ServedRequest): void {
 		const {account} = served.inputs;
-		if (!served.isCounted && account) {
-			served.isCounted = true;
-			this.parts.usage.count(account.name, this.parts.clock.wallNow());
+		if (!served.isUsageCounted && account) {
+			served.isUsageCounted = true;
+			this.dependencies.usage.count(account.name, this.dependencies.clock.wallNow());
 		}
 	}
 
-	/** Counts a request that is over and writes its log line. */
-	private conclude(served: ServedRequest, outcome: Outcome, details: {status?: number; events?: number; reason?: string}): void {
-		const {clock, belief, metrics} = this.parts;
+	/** Counts a finished request in the metrics and writes its log line. */
+	private recordOutcome(served: ServedRequest, outcome: Outcome, details: {status?: number; events?: number; reason?: string}): void {
+		const {clock, belief, metrics} = this.dependencies;
 		const {request, route, account, service, configVersion, arrivedAtMs} = served.inputs;
 		const nowMs = clock.now();
-		metrics.finish(route.name, outcome, (nowMs - arrivedAtMs) / 1000);
+		metrics.recordRequest(route.name, outcome, (nowMs - arrivedAtMs) / 1000);
 		log.info(`${outcome}.`, {
 			request: request.id, route: route.name, account: account?.name, service, ...details, ms: Math.round(nowMs - arrivedAtMs), configVersion, viewAgeMs: Math.round(belief.ageMs(nowMs)),
-			attempts: served.attempts.map(attempt => `${attempt.backendId} +${attempt.atMs} cost ${attempt.costMs}: ${attempt.result}`),
-			fingerprint: served.excluded.size > 0 ? describeFingerprint(served.fingerprint) : undefined,
+			attempts: served.attempts.map(attempt => `${attempt.backendId} +${attempt.sentAfterMs} cost ${attempt.costMs}: ${attempt.result}`),
+			fingerprint: served.excluded.size > 0 ? formatFingerprint(served.fingerprint) : undefined,
 		});
 	}
 }
 
-/** Picks the service of a request by the weights of its route. */
-function pickTarget(route: Route): string | undefined {
-	let total = 0;
+/** Picks the service of a request at random, by the weights of its route's targets. */
+function pickService(route: Route): string | undefined {
+	let totalWeight = 0;
 	for (const target of route.targets) {
-		total += target.weight;
+		totalWeight += target.weight;
 	}
 
-	let draw = Math.random() * total;
+	let remainingWeight = Math.random() * totalWeight;
 	for (const target of route.targets) {
-		draw -= target.weight;
-		if (draw < 0) {
+		remainingWeight -= target.weight;
+		if (remainingWeight < 0) {
 			return target.service;
 		}
 	}
--- a/src/coordination/serving/request-metrics.ts
+++ b/src/coordination/serving/request-metrics.ts
@@ -1,15 +1,16 @@
-/** How requests are counted, apart from the library that keeps the counters. */
+/** The interface for counting requests, independent of the metrics library, which is loaded later. */
 
 /** Counts requests by route and outcome. */
 export type RequestMetrics = {
-	finish(route: string, outcome: string, seconds: number): void;
+	/** Counts a finished request and the time that it took. */
+	recordRequest(route: string, outcome: string, seconds: number): void;
 };
 
-/** Passes counts on to metrics that are loaded after the first requests; those before are in the log only. */
+/** Forwards counts to metrics that are loaded after the first requests; requests before that appear in the log only. */
 export class DeferredMetrics implements RequestMetrics {
 	target: RequestMetrics | undefined;
 
-	finish(route: string, outcome: string, seconds: number): void {
-		this.target?.finish(route, outcome, seconds);
+	recordRequest(route: string, outcome: string, seconds: number): void {
+		this.target?.recordRequest(route, outcome, seconds);
 	}
 }
--- /dev/null
+++ b/src/coordination/serving/retry-reservations.ts
@@ -0,0 +1,115 @@
+/**
+ * Reserves the next attempt of a request before its current run is abandoned: a backend server
+ * and a retry from the retry budget. Without both, a run that may still succeed would be cut
+ * off with nothing to replace it.
+ */
+import {type Backend} from '../../protocol/serving.js';
+import {type SteadyClock} from '../../clock.js';
+import {type FleetTable} from '../fleet/fleet-table.js';
+import {type Quarantine} from '../quarantine/quarantine.js';
+import {type RepeatPurpose, type RetryAllowance} from '../retry-allowance.js';
+import {type BackendSelector} from './backend-selector.js';
+import {type ServedRequest, type RetryReservation} from './served-request.js';
+
+/** A run is replaced only if at least this share of the route's latency target is left until the deadline: engines usually begin to answer within a third of the target. */
+const minLatencyTargetShare = 0.25;
+
+/** What {@link RetryReservations} depends on. */
+export type RetryReservationsDependencies = {
+	selector: BackendSelector;
+	allowance: RetryAllowance;
+	fleet: FleetTable;
+	quarantine: Quarantine;
+	clock: SteadyClock;
+};
+
+/** Reserves retries for runs in progress, and takes retries from the retry budget. */
+export class RetryReservations {
+	constructor(private readonly dependencies: RetryReservationsDependencies) {}
+
+	/** Reserves a backend server and a retry from the budget for the next run of a request; returns whether one is reserved. */
+	reserve(served: ServedRequest, currentBackendId: string, purpose: RepeatPurpose, nowMs: number): boolean {
+		if (this.isRetryForbidden(served) || served.remainingMs(nowMs) < served.inputs.route.latencyTargetMs * minLatencyTargetShare) {
+			return false;
+		}
+
+		if (served.reservation) {
+			return this.reservedBackend(served, currentBackendId) !== undefined;
+		}
+
+		// The budget first: it is what runs out under load, and selecting among a hundred engines takes most of a millisecond.
+		if (!this.takeFromBudget(served, purpose, nowMs)) {
+			return false;
+		}
+
+		const choice = this.dependencies.selector.select(served, currentBackendId);
+		if (!choice) {
+			this.returnToBudget(served, nowMs);
+			return false;
+		}
+
+		served.reservation = {choice, reservedAtMs: nowMs, isRateLimitCharged: this.dependencies.selector.chargeRateLimit(choice.backend)};
+		return true;
+	}
+
+	/** Returns the reserved backend server, or a newly selected one if that is leaving or has failed the request meanwhile. */
+	reservedBackend(served: ServedRequest, currentBackendId?: string): Backend | undefined {
+		const {reservation} = served;
+		if (!reservation) {
+			return undefined;
+		}
+
+		if (!this.dependencies.selector.isUsable(served, reservation.choice.backend, reservation.isRateLimitCharged)) {
+			const choice = this.dependencies.selector.select(served, currentBackendId);
+			if (!choice) {
+				return undefined;
+			}
+
+			reservation.choice = choice;
+			reservation.isRateLimitCharged = this.dependencies.selector.chargeRateLimit(choice.backend);
+		}
+
+		return reservation.choice.backend;
+	}
+
+	/** Releases a reservation that is not needed and returns its retry to the budget. */
+	release(served: ServedRequest): void {
+		if (served.reservation) {
+			this.returnToBudget(served, served.reservation.reservedAtMs);
+			served.reservation = undefined;
+		}
+	}
+
+	/** Whether a request that has been sent before is quarantined and must not be sent again. */
+	isRetryForbidden(served: ServedRequest): boolean {
+		const {quarantine} = this.dependencies;
+		return served.attempts.length > 0 && !quarantine.isEmpty && quarantine.forbidsRepeat(served.fingerprint);
+	}
+
+	/** Takes a retry from the retry budget; returns whether there was one. */
+	takeFromBudget(served: ServedRequest, purpose: RepeatPurpose, nowMs: number): boolean {
+		const {allowance, fleet} = this.dependencies;
+		return allowance.take(served.inputs.service, purpose, fleet.daemons(nowMs), nowMs);
+	}
+
+	/** Restores a reservation whose attempt was not delivered, unless another one was made meanwhile. */
+	restore(served: ServedRequest, unused: RetryReservation | undefined): void {
+		if (unused && served.reservation) {
+			this.returnToBudget(served, unused.reservedAtMs);
+		} else {
+			served.reservation ??= unused;
+		}
+	}
+
+	/** Describes how much of the retry budget is used, for refusal reasons and logs. */
+	describeBudget(served: ServedRequest): string {
+		const {allowance, fleet, clock} = this.dependencies;
+		const nowMs = clock.now();
+		const {firsts, repeats} = allowance.used(served.inputs.service, nowMs);
+		return `${repeats} repeats for ${firsts} requests, ${fleet.daemons(nowMs)} daemons`;
+	}
+
+	private returnToBudget(served: ServedRequest, takenAtMs: number): void {
+		this.dependencies.allowance.giveBack(served.inputs.service, takenAtMs);
+	}
+}
--- a/src/coordination/serving/served-request.ts
+++ b/src/coordination/serving/served-request.ts
@@ -1,83 +1,83 @@
-/** One caller's request while it is being served, and what its log line will say. */
+/** One client request while it is being served, with the state that its log line reports. */
 import {type ServerResponse} from 'node:http';
 import {
 	type Account, type CallerRequest, RequestKind, type Route,
 } from '../../protocol/serving.js';
 import {type Choice} from '../placement.js';
-import {fingerprintOf} from '../quarantine/request-fingerprint.js';
+import {computeFingerprint} from '../quarantine/request-fingerprint.js';
 
-/** One request sent to a backend server. */
-export type Attempt = {backendId: string; costMs: number; atMs: number; result: string};
+/** One attempt: the request sent to one backend server. `sentAfterMs` counts from the request's arrival. */
+export type Attempt = {backendId: string; costMs: number; sentAfterMs: number; result: string};
 
-/** What a request is served from. */
-export type ServedInputs = {
+/** What is known of a request when serving begins. */
+export type ServedRequestInputs = {
 	request: CallerRequest;
 	route: Route;
-	/** The service its route selected for it. */
+	/** The service that was picked from its route's targets. */
 	service: string;
 	account: Account | undefined;
 	body: Uint8Array;
 	response: ServerResponse;
-	/** Aborts when the client has gone. */
+	/** Aborts when the client disconnects. */
 	signal: AbortSignal;
 	arrivedAtMs: number;
 	configVersion: number;
-	/** Its identity over the client's attempts, where it is known already. */
+	/** The fingerprint that the client's retries share, if it has been computed already. */
 	fingerprint?: number;
 };
 
-/** A backend server for a request's next run, and a place in the repeat allowance taken for it. */
-export type Successor = {
+/** A backend server reserved for a request's next attempt, and a retry taken from the retry budget for it. */
+export type RetryReservation = {
 	choice: Pick<Choice, 'backend' | 'costMs' | 'copyFrom'>;
-	heldAtMs: number;
-	/** Whether the run is counted at the limit of its backend server already. */
-	isClaimed: boolean;
+	reservedAtMs: number;
+	/** Whether the attempt is already charged to the rate limit of its backend server. */
+	isRateLimitCharged: boolean;
 };
 
 /** A request being served. */
 export class ServedRequest {
 	readonly attempts: Attempt[] = [];
-	/** Backend servers that failed it. */
+	/** Ids of the backend servers that must not receive it again, since they failed it or are being left. */
 	readonly excluded = new Set<string>();
-	/** When its answer is of no use any more. */
+	/** The time at which its answer is of no use any more. */
 	readonly deadlineAtMs: number;
-	/** Whether a backend server may have begun to run it. */
+	/** Whether a backend server may have started to run it. */
 	mayHaveRun = false;
-	/** Backend servers it may have run on. */
+	/** Number of backend servers on which it may have run. */
 	runs = 0;
-	/** Arrivals at backend servers, refused ones included. */
-	arrivals = 0;
-	/** What takes over from the run in progress, held before that is given up. */
-	successor: Successor | undefined;
-	/** Whether it was counted as begun for the usage reports. */
-	isCounted = false;
-	/** Done once it is known whether the backend server at which its last run broke off has ended. */
+	/** Number of attempts that reached a backend server, including refused ones. */
+	deliveries = 0;
+	/** The next attempt, reserved before the run in progress is abandoned. */
+	reservation: RetryReservation | undefined;
+	/** Whether it has been counted for the usage reports. */
+	isUsageCounted = false;
+	/** Resolves once it is known whether the backend server at which its last run broke off has crashed. */
 	crashCheck: Promise<void> | undefined;
-	private hashed: number | undefined;
+	private cachedFingerprint: number | undefined;
 
-	constructor(readonly inputs: ServedInputs) {
+	constructor(readonly inputs: ServedRequestInputs) {
 		const {request, route, arrivedAtMs} = inputs;
 		this.deadlineAtMs = arrivedAtMs + Math.min(request.deadlineMs ?? route.timeoutMs, route.timeoutMs);
 	}
 
-	/** Whether it may run a second time. */
-	get isRepeatable(): boolean {
+	/** Whether its route allows more than one run. */
+	get isRetryable(): boolean {
 		const {kind, isResumable} = this.inputs.route;
 		return kind === RequestKind.Idempotent || (kind === RequestKind.Streaming && isResumable);
 	}
 
-	/** Whether the route lets one more backend server run it. */
-	get mayRunAgain(): boolean {
-		return this.isRepeatable && this.runs < this.inputs.route.attempts;
+	/** Whether its route allows one more run. */
+	get canRunAgain(): boolean {
+		return this.isRetryable && this.runs < this.inputs.route.attempts;
 	}
 
-	/** Its identity over the client's attempts; hashed on first use, since few requests are ever asked for it. */
+	/** The fingerprint that the client's retries share; computed on first use, since it is needed for few requests. */
 	get fingerprint(): number {
 		const {account, request, body} = this.inputs;
-		this.hashed ??= this.inputs.fingerprint ?? fingerprintOf({
+		this.cachedFingerprint ??= this.inputs.fingerprint ?? computeFingerprint({
 			account: account?.name, host: request.host, method: request.method, path: request.path, body,
 		});
-		return this.hashed;
+		return this.cachedFingerprint;
 	}
 
 	get priority(): number {
--- a/src/coordination/serving/serving-metrics.ts
+++ b/src/coordination/serving/serving-metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and latency histograms of the serving path. */
+/** Counters and latency histograms of the requests that a daemon serves. */
 import {
 	Counter, Gauge, Histogram, type Registry,
 } from 'prom-client';
@@ -6,16 +6,16 @@
 import {type RequestMetrics} from './request-metrics.js';
 
 /** Upper bounds of the latency buckets, in seconds: around the targets of 0.1 to 1.5 s and the deadlines of 0.6 to 15 s. */
-const latencyBuckets = [0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8, 1.2, 2, 3, 5, 8, 15];
+const latencyBucketsSeconds = [0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8, 1.2, 2, 3, 5, 8, 15];
 
-/** What the metrics show of a daemon at the time of a scrape. */
+/** The daemon's state that is read at each scrape. */
 export type ServingState = {
 	openRequests: () => number;
-	/** The views of the store's topics, by topic. */
+	/** Returns the daemon's views of the store's topics, by topic. */
 	views: () => Record<string, ViewState>;
 };
 
-/** The metrics of one daemon's requests, and of the views that decide on them. */
+/** The metrics of one daemon's requests, and of the views of the store that they are served from. */
 export class ServingMetrics implements RequestMetrics {
 	private readonly finished: Counter;
 	private readonly latency: Histogram;
@@ -25,7 +25,7 @@
 			name: 'sesametally_requests_total', help: 'Requests by route and outcome.', labelNames: ['route', 'outcome'], registers: [registry],
 		});
 		this.latency = new Histogram({
-			name: 'sesametally_request_seconds', help: 'Time from a request\'s arrival to the end of its answer.', labelNames: ['route'], buckets: latencyBuckets, registers: [registry],
+			name: 'sesametally_request_seconds', help: 'Time from a request\'s arrival to the end of its answer.', labelNames: ['route'], buckets: latencyBucketsSeconds, registers: [registry],
 		});
 		const open = new Gauge({
 			name: 'sesametally_requests_open',
@@ -35,14 +35,14 @@
 				open.set(state.openRequests());
 			},
 		});
-		const age = new Gauge({
+		const viewAge = new Gauge({
 			name: 'sesametally_view_age_seconds',
 			help: 'Time since the view of a topic of the store was confirmed to be current.',
 			labelNames: ['topic'],
 			registers: [registry],
 			collect() {
 				for (const [topic, {ageMs}] of Object.entries(state.views())) {
-					age.set({topic}, ageMs / 1000);
+					viewAge.set({topic}, ageMs / 1000);
 				}
 			},
 		});
@@ -60,7 +60,7 @@
 		});
 	}
 
-	finish(route: string, outcome: string, seconds: number): void {
+	recordRequest(route: string, outcome: string, seconds: number): void {
 		this.finished.inc({route, outcome});
 		this.latency.observe({route}, seconds);
 	}
--- a/src/coordination/serving/stream-forwarding.ts
+++ b/src/coordination/serving/stream-forwarding.ts
@@ -1,70 +1,70 @@
 /**
- * Forwards streams. Nothing goes to the client before the first event, so that a failure
- * until then is still answered with a status. A stream that breaks later goes on at another
- * engine: from its moved KV cache where there is one, otherwise by a new run from the last
- * event delivered where the route allows it.
+ * Forwards streams. Nothing is sent to the client before the first event, so that an earlier
+ * failure can still be answered with an error status. A stream that breaks off later continues
+ * at another engine: from its moved KV cache if there is one, otherwise with a new run after
+ * the last event delivered, if the route allows that.
  */
 import {type ServerResponse} from 'node:http';
 import {RepeatPurpose} from '../retry-allowance.js';
-import {type WholeAnswer} from './call-forwarding.js';
+import {type BufferedAnswer} from './unary-forwarding.js';
 import {
-	type BegunAnswer, type Dispatcher, DispatchKind, type DispatchOptions, type FailedDispatch, isFinal,
+	type StartedAnswer, type Dispatcher, DispatchKind, type DispatchOptions, type FailedDispatch, isFinal,
 } from './dispatcher.js';
 import {
-	closeRun, Flight, InterruptCause, type Moved, PumpEnd,
-} from './flight.js';
+	closeRun, ForwardedStream, InterruptCause, type MovedStream, RunEnd,
+} from './forwarded-stream.js';
 import {type ServedRequest} from './served-request.js';
 import {type StreamRegistry} from './stream-registry.js';
 
-/** An engine gets this many times the latency target to begin before a resumable stream is sent to another that is held for it. */
-const beginTargets = 3;
-/** Longest answer of an engine that is no stream, in bytes. */
-const mostAnswerBytes = 1024 * 1024;
-/** Shortest time worth sending a request for, in milliseconds. */
-const leastUsefulMs = 20;
+/** Soft timeout for a resumable stream's answer to begin, as a multiple of the route's latency target. */
+const softTimeoutLatencyFactor = 3;
+/** Longest answer other than a stream that is buffered, in bytes. */
+const maxAnswerBytes = 1024 * 1024;
+/** A stream with no more remaining time than this is not sent, in milliseconds. */
+const minRemainingMs = 20;
 
 /** How a stream ended. */
 export type StreamResult
 	= | {kind: 'complete'; events: number}
-	/** An answer that is no stream, to be passed on whole. */
-		| {kind: 'answer'; answer: WholeAnswer}
+	/** An answer other than a stream, to be passed on as it is. */
+		| {kind: 'answer'; answer: BufferedAnswer}
 		| {kind: 'not-run'; reason: string}
 		| {kind: 'unknown'; reason: string}
-	/** Broken off after events were delivered. */
+	/** The stream broke off after the head of its answer was sent to the client. */
 		| {kind: 'broken'; reason: string; events: number};
 
 /** Forwards one stream. */
-export async function forwardStream(parts: {dispatcher: Dispatcher; registry: StreamRegistry; now: () => number}, served: ServedRequest, response: ServerResponse, onBegun: () => void): Promise<StreamResult> {
-	const {dispatcher, registry, now} = parts;
-	const flight = new Flight(served, response, onBegun, now);
-	flight.lastEventId = served.inputs.request.lastEventId;
+export async function forwardStream(dependencies: {dispatcher: Dispatcher; registry: StreamRegistry; now: () => number}, served: ServedRequest, response: ServerResponse, onFirstEvent: () => void): Promise<StreamResult> {
+	const {dispatcher, registry, now} = dependencies;
+	const stream = new ForwardedStream(served, response, onFirstEvent, now);
+	stream.lastEventId = served.inputs.request.lastEventId;
 	const deadline = setTimeout(() => {
-		flight.interrupt(InterruptCause.Deadline);
+		stream.interrupt(InterruptCause.Deadline);
 	}, Math.max(0, served.remainingMs(now())));
-	registry.add(flight);
+	registry.add(stream);
 	try {
-		return await runStream(dispatcher, flight, now);
+		return await runStream(dispatcher, stream, now);
 	} finally {
 		clearTimeout(deadline);
-		registry.remove(flight);
-		await flight.dropTakeover();
-		dispatcher.successors.release(served);
+		registry.remove(stream);
+		await stream.cancelTakeover();
+		dispatcher.reservations.release(served);
 	}
 }
 
-/** Runs a stream at one engine after the other, until it has ended or none may follow. */
-async function runStream(dispatcher: Dispatcher, flight: Flight, now: () => number): Promise<StreamResult> {
-	const {served} = flight;
+/** Runs a stream on one engine after another, until it has ended or no further run is allowed. */
+async function runStream(dispatcher: Dispatcher, stream: ForwardedStream, now: () => number): Promise<StreamResult> {
+	const {served} = stream;
 	let next: Partial<DispatchOptions> = {};
 	let reason = 'no time left';
-	let failure: WholeAnswer | undefined;
-	let taken: BegunAnswer | undefined;
-	while (served.remainingMs(now()) > leastUsefulMs && !served.inputs.signal.aborted) {
+	let errorAnswer: BufferedAnswer | undefined;
+	let takenOver: StartedAnswer | undefined;
+	while (served.remainingMs(now()) > minRemainingMs && !served.inputs.signal.aborted) {
 		// eslint-disable-next-line no-await-in-loop -- one engine after the other.
-		const dispatched: BegunAnswer | FailedDispatch = taken ?? await dispatcher.send(served, {
-			purpose: RepeatPurpose.Retry, beginMs: served.remainingMs(now()), patienceMs: patienceMs(served, flight), lastEventId: flight.lastEventId, ...next,
+		const dispatched: StartedAnswer | FailedDispatch = takenOver ?? await dispatcher.send(served, {
+			purpose: RepeatPurpose.Retry, firstByteTimeoutMs: served.remainingMs(now()), softTimeoutMs: calculateSoftTimeoutMs(served, stream), lastEventId: stream.lastEventId, ...next,
 		});
-		taken = undefined;
+		takenOver = undefined;
 		if (dispatched.kind !== DispatchKind.Answer && isFinal(dispatched.kind)) {
 			({reason} = dispatched);
 			break;
@@ -72,97 +72,97 @@
 
 		if (dispatched.kind === DispatchKind.Answer) {
 			// eslint-disable-next-line no-await-in-loop
-			const end = await takeAnswer(dispatched, flight);
+			const end = await forwardAnswer(dispatched, stream);
 			if (end.kind === 'complete') {
-				dispatcher.noteCompleted(served);
+				dispatcher.recordCompletedRun(served);
 				return end;
 			}
 
 			if (end.kind === 'ended' && end.isBroken) {
-				dispatcher.noteBroken(served, dispatched.backend);
+				dispatcher.recordBrokenRun(served, dispatched.backend);
 			}
 
-			failure = end.kind === 'answer' ? end.answer : failure;
+			errorAnswer = end.kind === 'answer' ? end.answer : errorAnswer;
 			reason = end.kind === 'answer' ? `failed with ${end.answer.status}` : end.reason;
-			dispatcher.noteFailure(served, dispatched.backend.id);
+			dispatcher.recordFailure(served, dispatched.backend.id);
 		} else {
 			({reason} = dispatched);
 		}
 
 		// eslint-disable-next-line no-await-in-loop
-		const moved = await takeMove(flight);
+		const moved = await awaitMove(stream);
 		// eslint-disable-next-line no-await-in-loop
-		taken = await flight.takeTakeover();
-		if (taken) {
+		takenOver = await stream.awaitTakeover();
+		if (takenOver) {
 			continue;
 		}
 
 		if (moved) {
 			next = {target: moved.target, kvSource: moved.run.kvSource, purpose: RepeatPurpose.Move};
-		} else if (served.mayHaveRun && !served.mayRunAgain) {
+		} else if (served.mayHaveRun && !served.canRunAgain) {
 			break;
 		} else {
-			next = flight.events > 0 ? {purpose: RepeatPurpose.Move} : {};
+			next = stream.events > 0 ? {purpose: RepeatPurpose.Move} : {};
 		}
 	}
 
-	if (taken) {
-		// It began too late to be of use.
-		closeRun(taken);
+	if (takenOver) {
+		// It started too late to be of use.
+		closeRun(takenOver);
 	}
 
-	if (flight.isHeadSent) {
-		return {kind: 'broken', reason, events: flight.events};
+	if (stream.isHeadSent) {
+		return {kind: 'broken', reason, events: stream.events};
 	}
 
-	if (failure) {
-		return {kind: 'answer', answer: failure};
+	if (errorAnswer) {
+		return {kind: 'answer', answer: errorAnswer};
 	}
 
 	return served.mayHaveRun ? {kind: 'unknown', reason} : {kind: 'not-run', reason};
 }
 
-/** How one run ended: whole, with an answer that is no stream, or broken off. */
-type RunEnd = Extract<StreamResult, {kind: 'complete' | 'answer'}> | {kind: 'ended'; reason: string; isBroken: boolean};
+/** The result of one run: complete, an answer other than a stream, or ended early. */
+type RunResult = Extract<StreamResult, {kind: 'complete' | 'answer'}> | {kind: 'ended'; reason: string; isBroken: boolean};
 
-/** Passes the events of one run on. */
-async function takeAnswer(begun: BegunAnswer, flight: Flight): Promise<RunEnd> {
-	const {attempt} = begun;
-	const {status} = begun.answer;
+/** Forwards the events of one run, or reads its error answer. */
+async function forwardAnswer(started: StartedAnswer, stream: ForwardedStream): Promise<RunResult> {
+	const {attempt} = started;
+	const {status} = started.answer;
 	if (status >= 200 && status < 300) {
-		const end = await flight.pump(begun);
-		attempt.result = flight.describeEnd(end);
-		return end === PumpEnd.Complete ? {kind: 'complete', events: flight.events} : {kind: 'ended', reason: attempt.result, isBroken: end === PumpEnd.Broken || flight.hasEngineEnded};
+		const end = await stream.forwardRun(started);
+		attempt.result = stream.describeEnd(end);
+		return end === RunEnd.Complete ? {kind: 'complete', events: stream.events} : {kind: 'ended', reason: attempt.result, isBroken: end === RunEnd.Broken || stream.hasEngineRestarted};
 	}
 
-	const answer = await readFailure(begun);
+	const answer = await readErrorAnswer(started);
 	attempt.result = String(status);
-	return answer ? {kind: 'answer', answer} : {kind: 'ended', reason: `failed with ${status}`, isBroken: !begun.abort.signal.aborted};
+	return answer ? {kind: 'answer', answer} : {kind: 'ended', reason: `failed with ${status}`, isBroken: !started.abort.signal.aborted};
 }
 
-/** Time after which another engine is asked to begin a stream instead; undefined when none may be. */
-function patienceMs(served: ServedRequest, flight: Flight): number | undefined {
+/** Calculates the soft timeout for a stream's answer to begin, in milliseconds; undefined when no retry may follow or events were already delivered. */
+function calculateSoftTimeoutMs(served: ServedRequest, stream: ForwardedStream): number | undefined {
 	const {attempts, latencyTargetMs} = served.inputs.route;
-	const canRepeat = served.isRepeatable && served.runs + 1 < attempts;
-	return canRepeat && flight.events === 0 ? latencyTargetMs * beginTargets : undefined;
+	const canRepeat = served.isRetryable && served.runs + 1 < attempts;
+	return canRepeat && stream.events === 0 ? latencyTargetMs * softTimeoutLatencyFactor : undefined;
 }
 
-/** Waits for a move in progress and takes its result. */
-async function takeMove(flight: Flight): Promise<Moved | undefined> {
-	const moved = await flight.moving;
-	flight.moving = undefined;
+/** Waits for a move in progress and returns its result. */
+async function awaitMove(stream: ForwardedStream): Promise<MovedStream | undefined> {
+	const moved = await stream.pendingMove;
+	stream.pendingMove = undefined;
 	return moved;
 }
 
-async function readFailure(begun: BegunAnswer): Promise<WholeAnswer | undefined> {
-	const {answer, running, backend} = begun;
+async function readErrorAnswer(started: StartedAnswer): Promise<BufferedAnswer | undefined> {
+	const {answer, running, backend} = started;
 	try {
-		const body = await answer.read(mostAnswerBytes);
+		const body = await answer.read(maxAnswerBytes);
 		return {
 			status: answer.status, statusText: answer.response.statusMessage ?? '', rawHeaders: answer.response.rawHeaders, body, backendId: backend.id,
 		};
 	} catch {
-		// A failure that broke off is no answer; the caller goes on as after any broken run.
+		// An error answer that broke off is treated like any broken run.
 		return undefined;
 	} finally {
 		running.end();
--- a/src/coordination/serving/stream-registry.ts
+++ b/src/coordination/serving/stream-registry.ts
@@ -1,7 +1,7 @@
 /**
- * Watches the running streams: moves those whose engine leaves before they end, and
- * interrupts those whose engine fell silent while another may go on with them. It answers
- * reclaims of a whole failure domain, which move dozens of streams within two seconds.
+ * Watches the running streams: moves those whose engine will leave before they end, and hands
+ * those whose engine has stalled over to another one, where they may continue. It is built for
+ * reclaims of a whole failure domain, where dozens of streams must move within two seconds.
  */
 import {
 	type Engines, type MoveAnswer, type MovedRun, MoveResult,
@@ -11,226 +11,228 @@
 import {type RouteTable} from '../../state/route-table.js';
 import {createLogger} from '../../log.js';
 import {RepeatPurpose} from '../retry-allowance.js';
-import {type BegunAnswer, type Dispatcher, DispatchKind} from './dispatcher.js';
+import {type StartedAnswer, type Dispatcher, DispatchKind} from './dispatcher.js';
 import {
-	closeRun, type Flight, InterruptCause, type Moved,
-} from './flight.js';
+	closeRun, type ForwardedStream, InterruptCause, type MovedStream,
+} from './forwarded-stream.js';
 
 const log = createLogger('streams');
 
-/** How often the streams are looked at, in milliseconds. */
+/** Interval between checks of the running streams, in milliseconds. */
 export const sweepMs = 100;
-/** Time kept free before an engine leaves, in milliseconds: an estimate of 20 ms a move, of which 60 may queue. */
+/** Time before an engine leaves at which its streams are moved, in milliseconds: 60 moves of 20 ms each may queue. */
 const moveLeadMs = 1300;
-/** A stream that should end this much before its engine leaves stays there, in milliseconds. */
+/** A stream that is expected to end at least this many milliseconds before its engine leaves is not moved. */
 const finishMarginMs = 300;
-/** Factor on the expected rest of a stream, since the client's estimate is often far off. */
-const estimateFactor = 1.3;
-/** A resumable stream without an event for this long goes on elsewhere, in milliseconds; clients leave after two seconds at the earliest. */
-const stallMs = 1300;
-/** A run is ended this long after another engine was asked to go on with it, in milliseconds, if that has not refused: no two may work on one request for 400 ms, and refusals come within a few. */
-const overlapMs = 250;
-/** Engines tried as the target of a move. */
-const moveTargets = 2;
+/** Factor applied to the estimated remaining time of a stream, since the client's estimate is often far off. */
+const remainingTimeFactor = 1.3;
+/** A resumable stream without an event for this many milliseconds is handed over to another engine; clients disconnect after two seconds at the earliest. */
+const stallTimeoutMs = 1300;
+/** A run is closed this many milliseconds after another engine was asked to continue it, unless that has refused: two engines must not work on one request for 400 ms, and refusals arrive within a few milliseconds. */
+const takeoverOverlapMs = 250;
+/** Number of engines that are tried as the target of a move. */
+const maxMoveTargets = 2;
 
 /** The running streams of this daemon. */
 export class StreamRegistry {
+	/** Number of streams that were moved with their KV cache. */
 	moved = 0;
-	private readonly flights = new Set<Flight>();
+	private readonly streams = new Set<ForwardedStream>();
 
-	constructor(private readonly parts: {backends: BackendTable; engines: Engines; dispatcher: Dispatcher; routes: RouteTable; signal: AbortSignal}) {}
+	constructor(private readonly dependencies: {backends: BackendTable; engines: Engines; dispatcher: Dispatcher; routes: RouteTable; signal: AbortSignal}) {}
 
 	get size(): number {
-		return this.flights.size;
+		return this.streams.size;
 	}
 
-	add(flight: Flight): void {
-		this.flights.add(flight);
+	add(stream: ForwardedStream): void {
+		this.streams.add(stream);
 	}
 
-	remove(flight: Flight): void {
-		this.flights.delete(flight);
+	remove(stream: ForwardedStream): void {
+		this.streams.delete(stream);
 	}
 
-	/** Looks at every stream once. */
+	/** Checks every stream once, and starts the moves and takeovers that are due. */
 	sweep(nowMs: number): void {
-		for (const flight of this.flights) {
-			const backend = flight.begun?.backend;
-			if (!backend || flight.moving) {
+		for (const stream of this.streams) {
+			const backend = stream.currentRun?.backend;
+			if (!backend || stream.pendingMove) {
 				continue;
 			}
 
-			const {leavesAtMs, isEnded} = this.parts.backends.get(backend.id) ?? {};
+			const {leavesAtMs, isEnded} = this.dependencies.backends.get(backend.id) ?? {};
 			if (isEnded) {
-				// Its connection may stay open without a word, and nothing of the run is left to keep or to copy.
-				flight.interrupt(InterruptCause.Ended);
-			} else if (flight.takeover) {
-				endNeedless(flight);
-			} else if (leavesAtMs !== undefined && !flight.hasMoveFailed && shouldMove(flight, this.tokensPerEvent(flight), leavesAtMs, nowMs)) {
-				this.leave(flight, backend, nowMs);
-			} else if (isSilent(flight, nowMs) && flight.served.mayRunAgain) {
-				this.handOver(flight, backend, InterruptCause.Silent, nowMs);
+				// The engine has restarted: its old connection may stay open and silent, and the run is lost, so it can be neither continued nor copied.
+				stream.interrupt(InterruptCause.Restarted);
+			} else if (stream.takeover) {
+				cancelNeedlessTakeover(stream);
+			} else if (leavesAtMs !== undefined && !stream.hasMoveFailed && shouldMove(stream, this.tokensPerEvent(stream), leavesAtMs, nowMs)) {
+				this.moveOffLeavingEngine(stream, backend, nowMs);
+			} else if (isStalled(stream, nowMs) && stream.served.canRunAgain) {
+				this.startTakeover(stream, backend, InterruptCause.Silent, nowMs);
 			}
 		}
 	}
 
-	private tokensPerEvent(flight: Flight): number {
-		return this.parts.routes.service(flight.served.inputs.service)?.engine?.tokensPerEvent ?? 1;
+	private tokensPerEvent(stream: ForwardedStream): number {
+		return this.dependencies.routes.service(stream.served.inputs.service)?.engine?.tokensPerEvent ?? 1;
 	}
 
-	/** Takes a stream off an engine that leaves. */
-	private leave(flight: Flight, source: Backend, nowMs: number): void {
-		const canMove = this.parts.routes.service(flight.served.inputs.service)?.engine?.canMove ?? false;
-		if (flight.events > 0 && canMove) {
-			if (this.hold(flight, source, InterruptCause.Leaving, nowMs)) {
-				flight.moving = this.move(flight, source);
+	/** Moves a stream off an engine that is leaving, or has another engine take it over. */
+	private moveOffLeavingEngine(stream: ForwardedStream, source: Backend, nowMs: number): void {
+		const canMove = this.dependencies.routes.service(stream.served.inputs.service)?.engine?.canMove ?? false;
+		if (stream.events > 0 && canMove) {
+			if (this.reserve(stream, source, InterruptCause.Leaving, nowMs)) {
+				stream.pendingMove = this.move(stream, source);
 			}
-		} else if (flight.served.mayRunAgain) {
-			// Nothing to copy, or engines that cannot.
-			this.handOver(flight, source, InterruptCause.Leaving, nowMs);
+		} else if (stream.served.canRunAgain) {
+			// There is no KV cache to copy yet, or the engines cannot move runs.
+			this.startTakeover(stream, source, InterruptCause.Leaving, nowMs);
 		}
 	}
 
-	/** Asks another engine to go on with a stream. */
-	private handOver(flight: Flight, source: Backend, cause: InterruptCause, nowMs: number): void {
-		if (this.hold(flight, source, cause, nowMs)) {
-			log.info('stream handed over.', {cause, ...describe(flight, source, nowMs)});
+	/** Asks another engine to continue a stream. */
+	private startTakeover(stream: ForwardedStream, source: Backend, cause: InterruptCause, nowMs: number): void {
+		if (this.reserve(stream, source, cause, nowMs)) {
+			log.info('stream is handed over to another engine.', {cause, ...toLogContext(stream, source, nowMs)});
 			const abort = new AbortController();
-			flight.served.excluded.add(source.id);
-			flight.takeover = {
-				cause, startedAtMs: nowMs, abort, begun: this.begin(flight, {cause, startedAtMs: nowMs, signal: abort.signal}),
+			stream.served.excluded.add(source.id);
+			stream.takeover = {
+				cause, startedAtMs: nowMs, abort, run: this.startRun(stream, {cause, startedAtMs: nowMs, signal: abort.signal}),
 			};
 		}
 	}
 
 	/**
-	 * Begins a run at another engine. The one in progress ends when that has begun, or has not
-	 * refused for a while; until then it goes on, and a silent one that brings an event stays.
+	 * Starts a run at another engine. The current run is closed once the new one has started, or
+	 * after {@link takeoverOverlapMs} unless the new engine has refused. Until then it continues,
+	 * and a stalled run that delivers an event again is kept.
 	 */
-	private async begin(flight: Flight, {cause, startedAtMs, signal}: {cause: InterruptCause; startedAtMs: number; signal: AbortSignal}): Promise<BegunAnswer | undefined> {
-		const {served} = flight;
-		const overlap = setTimeout(() => {
+	private async startRun(stream: ForwardedStream, {cause, startedAtMs, signal}: {cause: InterruptCause; startedAtMs: number; signal: AbortSignal}): Promise<StartedAnswer | undefined> {
+		const {served} = stream;
+		const overlapTimer = setTimeout(() => {
 			if (!signal.aborted) {
-				flight.interrupt(cause);
+				stream.interrupt(cause);
 			}
-		}, overlapMs);
-		const dispatched = await this.parts.dispatcher.send(served, {
-			purpose: RepeatPurpose.Move, beginMs: served.remainingMs(startedAtMs), lastEventId: flight.lastEventId, signal,
+		}, takeoverOverlapMs);
+		const dispatched = await this.dependencies.dispatcher.send(served, {
+			purpose: RepeatPurpose.Move, firstByteTimeoutMs: served.remainingMs(startedAtMs), lastEventId: stream.lastEventId, signal,
 		});
-		clearTimeout(overlap);
+		clearTimeout(overlapTimer);
 		if (dispatched.kind === DispatchKind.Answer && isSuccess(dispatched) && !signal.aborted) {
-			flight.interrupt(cause);
+			stream.interrupt(cause);
 			return dispatched;
 		}
 
-		log.info('stream not taken over.', {request: served.inputs.request.id, reason: dispatched.kind === DispatchKind.Answer ? `status ${dispatched.answer.status}` : dispatched.reason});
+		log.info('no engine took over the stream.', {request: served.inputs.request.id, reason: dispatched.kind === DispatchKind.Answer ? `status ${dispatched.answer.status}` : dispatched.reason});
 		if (dispatched.kind === DispatchKind.Answer) {
 			closeRun(dispatched);
 		}
 
-		if (flight.begun) {
-			flight.takeover = undefined;
+		if (stream.currentRun) {
+			stream.takeover = undefined;
 		}
 
 		return undefined;
 	}
 
-	/** Holds what takes over from a run. Without it the run goes on: a stream is not cut while it may still end well. */
-	private hold(flight: Flight, source: Backend, cause: InterruptCause, nowMs: number): boolean {
-		const isHeld = this.parts.dispatcher.successors.hold(flight.served, source.id, RepeatPurpose.Move, nowMs);
-		if (!isHeld && !flight.isKept) {
-			flight.isKept = true;
-			log.info('stream kept, nothing can take it over.', {cause, ...describe(flight, source, nowMs)});
+	/** Reserves the next run of a stream. Without a reservation the current run continues, since it may still complete. */
+	private reserve(stream: ForwardedStream, source: Backend, cause: InterruptCause, nowMs: number): boolean {
+		const isReserved = this.dependencies.dispatcher.reservations.reserve(stream.served, source.id, RepeatPurpose.Move, nowMs);
+		if (!isReserved && !stream.hasLoggedNoTakeover) {
+			stream.hasLoggedNoTakeover = true;
+			log.info('stream kept on its engine, no takeover is possible.', {cause, ...toLogContext(stream, source, nowMs)});
 		}
 
-		return isHeld;
+		return isReserved;
 	}
 
-	/** Moves a run; one that no engine has room for goes on where it is. */
-	private async move(flight: Flight, source: Backend): Promise<Moved | undefined> {
-		flight.served.excluded.add(source.id);
-		for (let tries = 0; tries < moveTargets; tries++) {
-			const target = this.parts.dispatcher.successors.heldBackend(flight.served);
+	/** Moves a run to another engine; if none has room, the run stays on its engine. */
+	private async move(stream: ForwardedStream, source: Backend): Promise<MovedStream | undefined> {
+		stream.served.excluded.add(source.id);
+		for (let tries = 0; tries < maxMoveTargets; tries++) {
+			const target = this.dependencies.dispatcher.reservations.reservedBackend(stream.served);
 			if (!target) {
 				break;
 			}
 
 			// eslint-disable-next-line no-await-in-loop -- the next target only if this one has no room.
-			const {result, run} = await this.copyAndMove(flight, source, target);
+			const {result, run} = await this.copyAndMove(stream, source, target);
 			if (run) {
 				this.moved++;
-				// What the source sent before it stopped is still on its way; it closes the stream.
+				// Events that the source sent before it stopped are still arriving; the source closes the connection after them.
 				return {target, run};
 			}
 
 			if (result === MoveResult.Unanswered) {
-				// Nothing speaks against the target. If the move was carried out, the source ends the stream.
+				// The target is not at fault. If the move was carried out, the source closes the connection.
 				break;
 			}
 
-			flight.served.excluded.add(target.id);
+			stream.served.excluded.add(target.id);
 		}
 
-		this.parts.dispatcher.successors.release(flight.served);
-		flight.hasMoveFailed = true;
-		flight.moving = undefined;
+		this.dependencies.dispatcher.reservations.release(stream.served);
+		stream.hasMoveFailed = true;
+		stream.pendingMove = undefined;
 		return undefined;
 	}
 
-	/** Moves a run after a copy has shown that the target has room: an order to move stops it also where the target then refuses. */
-	private async copyAndMove(flight: Flight, source: Backend, target: Backend): Promise<MoveAnswer> {
-		const {engines, signal} = this.parts;
-		const {id} = flight.served.inputs.request;
+	/** Moves a run after a copy has shown that the target has room: a move stops the run even if the target then refuses it. */
+	private async copyAndMove(stream: ForwardedStream, source: Backend, target: Backend): Promise<MoveAnswer> {
+		const {engines, signal} = this.dependencies;
+		const {id} = stream.served.inputs.request;
 		const copied = await engines.copy(id, source, target, signal);
 		const moved = copied.run ? await engines.move(id, source, target, signal) : copied;
-		log.info('stream move ordered.', {
-			request: id, from: source.id, to: target.id, events: flight.events, copied: copied.result, moved: copied.run && moved.result,
+		log.info('stream move attempted.', {
+			request: id, from: source.id, to: target.id, events: stream.events, copied: copied.result, moved: copied.run && moved.result,
 		});
 		if (copied.run && !moved.run) {
-			this.release(copied.run, source);
+			this.releaseCopy(copied.run, source);
 		}
 
 		return moved;
 	}
 
-	/** Frees a copy that is not used, so that it doesn't keep a slot at its target. */
-	private release(run: MovedRun, source: Backend): void {
-		void this.parts.engines.release(run, source, this.parts.signal).catch((error: unknown) => {
-			// The engine leaves, and frees it then.
+	/** Releases an unused copy, so that it does not occupy a slot at its target. */
+	private releaseCopy(run: MovedRun, source: Backend): void {
+		void this.dependencies.engines.release(run, source, this.dependencies.signal).catch((error: unknown) => {
+			// The source engine is leaving, which releases the copy too.
 			log.debug('copy not released.', {from: source.id, error: String(error)});
 		});
 	}
 }
 
-/** What a log line says of a stream. */
-function describe(flight: Flight, backend: Backend, nowMs: number): Record<string, unknown> {
+/** Returns the log fields that describe a stream. */
+function toLogContext(stream: ForwardedStream, backend: Backend, nowMs: number): Record<string, unknown> {
 	return {
-		request: flight.served.inputs.request.id, backend: backend.id, events: flight.events, silentMs: Math.round(nowMs - flight.progressAtMs), runs: flight.served.runs,
+		request: stream.served.inputs.request.id, backend: backend.id, events: stream.events, silentMs: Math.round(nowMs - stream.lastProgressAtMs), runs: stream.served.runs,
 	};
 }
 
-/** Whether a stream would not end before its engine leaves, and the time to move it has come. */
-export function shouldMove(flight: Flight, tokensPerEvent: number, leavesAtMs: number, nowMs: number): boolean {
-	const leftMs = leavesAtMs - nowMs;
-	if (leftMs > moveLeadMs) {
+/** Whether a stream should be moved now: its engine leaves soon, and the stream is not expected to end before. */
+export function shouldMove(stream: ForwardedStream, tokensPerEvent: number, leavesAtMs: number, nowMs: number): boolean {
+	const msUntilLeave = leavesAtMs - nowMs;
+	if (msUntilLeave > moveLeadMs) {
 		return false;
 	}
 
-	const restMs = flight.expectedRemainingMs(tokensPerEvent);
-	return restMs === undefined || (restMs * estimateFactor) + finishMarginMs > leftMs;
+	const remainingMs = stream.expectedRemainingMs(tokensPerEvent);
+	return remainingMs === undefined || (remainingMs * remainingTimeFactor) + finishMarginMs > msUntilLeave;
 }
 
-function isSuccess({answer}: BegunAnswer): boolean {
+function isSuccess({answer}: StartedAnswer): boolean {
 	return answer.status >= 200 && answer.status < 300;
 }
 
-/** Ends the takeover of a silent stream that has brought events since. */
-function endNeedless({takeover, progressAtMs}: Flight): void {
-	if (takeover?.cause === InterruptCause.Silent && progressAtMs > takeover.startedAtMs) {
+/** Cancels the takeover of a stalled stream that has received events since. */
+function cancelNeedlessTakeover({takeover, lastProgressAtMs}: ForwardedStream): void {
+	if (takeover?.cause === InterruptCause.Silent && lastProgressAtMs > takeover.startedAtMs) {
 		takeover.abort.abort();
 	}
 }
 
-function isSilent(flight: Flight, nowMs: number): boolean {
-	return flight.events > 0 && !flight.isPaused && nowMs - flight.progressAtMs > stallMs;
+function isStalled(stream: ForwardedStream, nowMs: number): boolean {
+	return stream.events > 0 && !stream.isPaused && nowMs - stream.lastProgressAtMs > stallTimeoutMs;
 }
