--- a/src/coordination/quarantine/__tests__/crash-watch.test.ts
+++ b/src/coordination/quarantine/__tests__/crash-watch.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against blaming requests for broken runs that they did not cause: only a backend server
+ * that crashed is evidence, not one that is overloaded, draining or being reclaimed.
+ */
 import {createServer} from 'node:net';
 import {describe, expect, it} from 'vitest';
 import {SteadyClock} from '../../../clock.js';
--- a/src/coordination/quarantine/__tests__/quarantine.test.ts
+++ b/src/coordination/quarantine/__tests__/quarantine.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against a request that crashes one backend server after another as its client retries it,
+ * and against quarantining harmless requests that ran beside it.
+ */
 import {describe, expect, it} from 'vitest';
 import {crashesToQuarantine, initialQuarantineMs, Quarantine} from '../quarantine.js';
 
--- a/src/coordination/quarantine/__tests__/request-fingerprint.test.ts
+++ b/src/coordination/quarantine/__tests__/request-fingerprint.test.ts
@@ -6,7 +6,7 @@
 	account: 'team', host: 'h.example', method: 'POST', path: '/a/b?x=1', body: Buffer.from('body'),
 };
 
-describe('fingerprintOf', () => {
+describe('computeFingerprint', () => {
 	it('is the same for every retry of a request', () => {
 		expect(computeFingerprint({...identity, body: Buffer.from('body')})).toBe(computeFingerprint(identity));
 	});
--- a/src/coordination/quarantine/quarantine.ts
+++ b/src/coordination/quarantine/quarantine.ts
@@ -87,7 +87,7 @@
 		}
 	}
 
-	/** Decides whether a request may run; undefined when it may. After its quarantine it may run as a probe, at one daemon only and once in {@link probeIntervalMs}. */
+	/** Decides whether a request may run; undefined when it may. After its quarantine it may run as a probe, at one daemon only and once per {@link probeIntervalMs}. */
 	admit(fingerprint: number, nowMs: number): QuarantineRefusal | undefined {
 		const suspect = this.suspects.get(fingerprint);
 		if (!suspect || suspect.crashes.size < crashesToQuarantine) {
@@ -146,7 +146,7 @@
 		this.prune(nowMs);
 	}
 
-	/** Returns the state dump's entry. */
+	/** Returns the suspects for the state dump. */
 	toJson(nowMs: number): unknown {
 		return this.news(true, nowMs).map(({fingerprint, ...rest}) => ({fingerprint: formatFingerprint(fingerprint), ...rest}));
 	}
@@ -225,8 +225,8 @@
 }
 
 function quarantineEndsAtMs(suspect: Suspect): number {
-	const further = suspect.crashes.size - crashesToQuarantine;
-	return lastCrashAtMs(suspect) + Math.min(maxQuarantineMs, initialQuarantineMs * (2 ** further));
+	const furtherCrashes = suspect.crashes.size - crashesToQuarantine;
+	return lastCrashAtMs(suspect) + Math.min(maxQuarantineMs, initialQuarantineMs * (2 ** furtherCrashes));
 }
 
 function compareSuspicion(a: Suspect, b: Suspect): number {
--- a/src/coordination/serving/__tests__/backend-selector.test.ts
+++ b/src/coordination/serving/__tests__/backend-selector.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against sending more to a backend server than the rate limit that it states, above all
+ * when many streams select their next engines at once, before any request has been sent.
+ */
 import {describe, expect, it} from 'vitest';
 import {SteadyClock} from '../../../clock.js';
 import {
@@ -57,7 +61,7 @@
 	return {selector, limits, reservations};
 }
 
-describe('BackendChoice', () => {
+describe('BackendSelector', () => {
 	it.each([
 		{
 			name: 'the rate-limited one while its limit allows a request', isSender: true, statedMsAgo: 500, excluded: [], expected: 'limited',
@@ -91,7 +95,7 @@
 	});
 });
 
-describe('Successors', () => {
+describe('RetryReservations', () => {
 	it('reserves no more than its rate limit on a backend server for streams that leave an engine together', () => {
 		const {reservations} = createSelector(true, 500);
 		const reservedIds = Array.from({length: 20}, () => {
--- a/src/coordination/serving/__tests__/forwarded-stream.test.ts
+++ b/src/coordination/serving/__tests__/forwarded-stream.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against taking a truncated stream for a complete one: when a run is closed while the
+ * client reads too slowly, the engine's answer ends as if it were complete, with events unread.
+ */
 import {Writable} from 'node:stream';
 import {createServer, type ServerResponse} from 'node:http';
 import {type AddressInfo} from 'node:net';
--- a/src/coordination/serving/__tests__/stream-registry.test.ts
+++ b/src/coordination/serving/__tests__/stream-registry.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against streams that are lost with their engine: those not moved before it leaves, and
+ * those whose engine restarted while the old connection stayed open.
+ */
 import {type ServerResponse} from 'node:http';
 import {describe, expect, it} from 'vitest';
 import {
--- a/src/coordination/serving/dispatcher.ts
+++ b/src/coordination/serving/dispatcher.ts
@@ -272,7 +272,12 @@
 	}
 
 	/** Checks that an answer belongs to the request, and applies what its headers state of the run, the load and the rate limit. */
-	private classifyAnswer(served: ServedRequest, started: Omit<StartedAnswer, 'kind' | 'marks'>, options: DispatchOptions, fail: (failure: FailedDispatch) => FailedDispatch): StartedAnswer | FailedDispatch {
+	private classifyAnswer(
+		served: ServedRequest,
+		started: Omit<StartedAnswer, 'kind' | 'marks'>,
+		options: DispatchOptions,
+		fail: (failure: FailedDispatch) => FailedDispatch,
+	): StartedAnswer | FailedDispatch {
 		const {dialect, backends, placement, clock} = this.dependencies;
 		const {backend, answer} = started;
 		const marks = dialect.readAnswer(answer.response.headers);
--- a/src/coordination/serving/forwarder.ts
+++ b/src/coordination/serving/forwarder.ts
@@ -36,10 +36,14 @@
 	Served = 'served',
 	/** An error answer of a backend server was passed on. */
 	BackendFailure = 'backend-failure',
+	/** No backend server ran the request, and none will. */
 	Refused = 'refused',
+	/** The request may have run, but there is no answer. */
 	Unknown = 'unknown',
+	/** A stream broke off after events were delivered. */
 	Broken = 'broken',
 	ClientGone = 'client-gone',
+	/** The request was not admitted, and no backend server was selected. */
 	Rejected = 'rejected',
 }
 
--- a/src/coordination/serving/served-request.ts
+++ b/src/coordination/serving/served-request.ts
@@ -37,7 +37,7 @@
 /** A request being served. */
 export class ServedRequest {
 	readonly attempts: Attempt[] = [];
-	/** Ids of the backend servers that must not receive it again, since they failed it or are being left. */
+	/** Ids of the backend servers that must not receive it again, since they failed it or the request is being moved off them. */
 	readonly excluded = new Set<string>();
 	/** The time at which its answer is of no use any more. */
 	readonly deadlineAtMs: number;
--- a/src/coordination/serving/stream-forwarding.ts
+++ b/src/coordination/serving/stream-forwarding.ts
@@ -16,7 +16,7 @@
 import {type ServedRequest} from './served-request.js';
 import {type StreamRegistry} from './stream-registry.js';
 
-/** Soft timeout for a resumable stream's answer to begin, as a multiple of the route's latency target. */
+/** Soft timeout for a resumable stream's answer to begin, after which it is retried on a reserved engine; a multiple of the route's latency target. */
 const softTimeoutLatencyFactor = 3;
 /** Longest answer other than a stream that is buffered, in bytes. */
 const maxAnswerBytes = 1024 * 1024;
@@ -143,8 +143,8 @@
 /** Calculates the soft timeout for a stream's answer to begin, in milliseconds; undefined when no retry may follow or events were already delivered. */
 function calculateSoftTimeoutMs(served: ServedRequest, stream: ForwardedStream): number | undefined {
 	const {attempts, latencyTargetMs} = served.inputs.route;
-	const canRepeat = served.isRetryable && served.runs + 1 < attempts;
-	return canRepeat && stream.events === 0 ? latencyTargetMs * softTimeoutLatencyFactor : undefined;
+	const isRetryAllowed = served.isRetryable && served.runs + 1 < attempts;
+	return isRetryAllowed && stream.events === 0 ? latencyTargetMs * softTimeoutLatencyFactor : undefined;
 }
 
 /** Waits for a move in progress and returns its result. */
--- a/src/coordination/serving/stream-registry.ts
+++ b/src/coordination/serving/stream-registry.ts
@@ -1,6 +1,6 @@
 /**
  * Watches the running streams: moves those whose engine will leave before they end, and hands
- * those whose engine has stalled over to another one, where they may continue. It is built for
+ * stalled ones over to another engine if their route allows a further run. It is built for
  * reclaims of a whole failure domain, where dozens of streams must move within two seconds.
  */
 import {
@@ -189,14 +189,14 @@
 			request: id, from: source.id, to: target.id, events: stream.events, copied: copied.result, moved: copied.run && moved.result,
 		});
 		if (copied.run && !moved.run) {
-			this.releaseCopy(copied.run, source);
+			this.release(copied.run, source);
 		}
 
 		return moved;
 	}
 
 	/** Releases an unused copy, so that it does not occupy a slot at its target. */
-	private releaseCopy(run: MovedRun, source: Backend): void {
+	private release(run: MovedRun, source: Backend): void {
 		void this.dependencies.engines.release(run, source, this.dependencies.signal).catch((error: unknown) => {
 			// The source engine is leaving, which releases the copy too.
 			log.debug('copy not released.', {from: source.id, error: String(error)});
--- a/src/coordination/serving/unary-forwarding.ts
+++ b/src/coordination/serving/unary-forwarding.ts
@@ -13,7 +13,7 @@
 
 /** Longest answer that is buffered, in bytes. */
 const maxAnswerBytes = 8 * 1024 * 1024;
-/** Soft timeout of an attempt at an idempotent request, as a multiple of the route's latency target. */
+/** Soft timeout of an attempt at an idempotent request, after which it is retried on a reserved backend server; a multiple of the route's latency target. */
 const softTimeoutLatencyFactor = 2.5;
 /** Upper bound of the soft timeout, as a share of the request's remaining time. */
 const softTimeoutShare = 0.45;
@@ -91,8 +91,8 @@
 /** Calculates the soft timeout of the next attempt in milliseconds; undefined when no retry may follow it. */
 function calculateSoftTimeoutMs(served: ServedRequest, remainingMs: number): number | undefined {
 	const {kind, attempts, latencyTargetMs} = served.inputs.route;
-	const canRepeat = kind === RequestKind.Idempotent && served.runs + 1 < attempts && served.deliveries < attempts;
-	return canRepeat ? Math.min(remainingMs * softTimeoutShare, latencyTargetMs * softTimeoutLatencyFactor) : undefined;
+	const isRetryAllowed = kind === RequestKind.Idempotent && served.runs + 1 < attempts && served.deliveries < attempts;
+	return isRetryAllowed ? Math.min(remainingMs * softTimeoutShare, latencyTargetMs * softTimeoutLatencyFactor) : undefined;
 }
 
 /** Whether the request may be sent to another backend server. */
