--- a/src/coordination/fleet/__tests__/fleet-messenger.test.ts
+++ b/src/coordination/fleet/__tests__/fleet-messenger.test.ts
@@ -8,7 +8,7 @@
 import {roundMs} from '../peer-census.js';
 import {FleetRole} from '../fleet-table.js';
 
-/** Has daemons read the store, one after the other. */
+/** Lets each daemon read the store, one after the other. */
 async function readAll(daemons: TestDaemon[]): Promise<void> {
 	for (const daemon of daemons) {
 		const stop = new AbortController();
@@ -27,7 +27,7 @@
 		{count: 12, domains: 4, roles: {mesh: 12, relay: 0, leaf: 0}},
 		{count: 86, domains: 4, roles: {mesh: 0, relay: 8, leaf: 78}},
 		{count: 120, domains: 15, roles: {mesh: 0, relay: 30, leaf: 90}},
-	])('of $count daemons in $domains failure domains finds its form, and each knows of all', async ({count, domains, roles}) => {
+	])('of $count daemons in $domains failure domains assigns its roles, and each daemon counts all others', async ({count, domains, roles}) => {
 		const net = await startNet(count, domains);
 		expect(net.roles()).toEqual(roles);
 		expect(net.daemons.map(daemon => daemon.fleet.daemons(net.nowMs))).toEqual(net.daemons.map(() => count));
@@ -43,9 +43,9 @@
 			name: '86 daemons', count: 86, lossShare: 0, newestMs: 800,
 		},
 		{
-			name: '86 daemons whose links lose 3 in 100', count: 86, lossShare: 0.03, newestMs: 1300,
+			name: '86 daemons with a datagram loss of 3 %', count: 86, lossShare: 0.03, newestMs: 1300,
 		},
-	])('of $name counts every admission once, everywhere', async ({count, lossShare, newestMs}) => {
+	])('of $name counts every admission exactly once at each daemon', async ({count, lossShare, newestMs}) => {
 		const net = await startNet(count, 4);
 		net.lossShare = lossShare;
 		let admitted = 0;
@@ -58,7 +58,7 @@
 		expect(new Set(net.sums())).toEqual(new Set([admitted]));
 	});
 
-	it('of 86 daemons knows the load of a backend server within four rounds, and the holder the usage', async () => {
+	it('of 86 daemons knows the load of a backend server within four rounds, and its relays know the usage', async () => {
 		const net = await startNet(86, 4);
 		for (const daemon of net.daemons) {
 			daemon.placement.begin('i-1', 0, [], net.nowMs);
@@ -71,7 +71,7 @@
 		expect(relays.map(daemon => daemon.usage.total(daemon.usage.windowAt(net.nowMs - 1000)))).toEqual(relays.map(() => ({x: 86})));
 	});
 
-	it('tells a holder of the duties that is no relay the usage of all', async () => {
+	it('reports the usage of all daemons to a duty holder that is not a relay', async () => {
 		const net = await startNet(86, 4);
 		const holder = net.daemons.find(daemon => daemon.fleet.roleAt(net.nowMs) === FleetRole.Leaf)!;
 		await holder.lease.step({rank: 0, hearsMost: true, startedAtMs: -10_000}, new AbortController().signal);
@@ -88,7 +88,7 @@
 		{name: 'one daemon', turnedAway: 1, change: false},
 		{name: 'one daemon, while an entry changes', turnedAway: 1, change: true},
 		{name: 'half of the daemons, while an entry changes', turnedAway: 3, change: true},
-	])('goes by the word of the others where the store turns away $name', async ({turnedAway, change}) => {
+	])('keeps views current through peers when the store turns away $name', async ({turnedAway, change}) => {
 		const net = await startNet(6, 3);
 		await readAll(net.daemons);
 		const [away, others] = [net.daemons.slice(0, turnedAway), net.daemons.slice(turnedAway)];
@@ -100,7 +100,7 @@
 		}
 
 		for (let round = 0; round < 4; round++) {
-			// eslint-disable-next-line no-await-in-loop -- the others read on.
+			// eslint-disable-next-line no-await-in-loop -- the others continue to read.
 			await readAll(others);
 			net.run(1000);
 		}
@@ -115,7 +115,7 @@
 	it('of 86 daemons follows the store through its relays', async () => {
 		const net = await startNet(86, 4);
 		const isRelay = (daemon: TestDaemon) => daemon.fleet.roleAt(net.nowMs) === FleetRole.Relay;
-		// Each daemon reads once at its start; later only the relays do, and the records reach the others through them.
+		// Each daemon reads the store once at its start; after that only the relays read it and forward the records.
 		await readAll(net.daemons);
 		net.store.put(Topic.Backends, 'i-1', '{}');
 		net.store.put(Topic.Backends, 'i-2', '{}');
@@ -125,7 +125,7 @@
 		expect(Math.max(...net.daemons.map(daemon => daemon.beliefs[Topic.Config].ageMs(net.nowMs)))).toBeLessThan(1400);
 	});
 
-	it('goes on when the first relay of a failure domain dies, and counts what is admitted meanwhile', async () => {
+	it('replaces the first relay of a failure domain that dies, and counts what is admitted meanwhile', async () => {
 		const net = await startNet(86, 4);
 		const dead = net.daemons.find(daemon => daemon.name === 'fd-1-000')!;
 		dead.isRunning = false;
@@ -137,7 +137,7 @@
 		});
 		net.run(1500);
 		expect(net.roles()).toEqual({mesh: 0, relay: 8, leaf: 77});
-		// The daemon that took its place may miss what was admitted in one round; those that it tells count what was on its way twice.
+		// The daemon that replaced it may miss the admissions of one round; the daemons that report to it may count those in transit twice.
 		expect(net.sums().filter(sum => sum === admitted).length).toBeGreaterThanOrEqual(64);
 		expect(Math.max(...net.sums())).toBeLessThan(admitted + (100 * roundMs / tickMs));
 		expect(net.sums().toSorted((a, b) => a - b).at(1)).toBe(admitted);
@@ -145,7 +145,7 @@
 		expect(Math.max(...net.running().map(daemon => daemon.fleet.silent(net.nowMs)))).toBe(1);
 	});
 
-	it('whose two relays of a failure domain die at once counts what it missed from the sums that others know', async () => {
+	it('recovers missed admissions from the sums of the other daemons when both relays of a failure domain die at once', async () => {
 		const net = await startNet(86, 4);
 		const relays = net.daemons.filter(daemon => daemon.name === 'fd-2-000' || daemon.name === 'fd-2-001');
 		let admitted = 0;
@@ -167,12 +167,12 @@
 
 		net.run(2500, admit);
 		net.run(1500);
-		// What is on its way when sums are taken over may count twice, which errs towards refusing.
+		// Admissions in transit when the sums are adopted may count twice, so the error is towards refusing requests.
 		expect(Math.min(...net.sums())).toBeGreaterThan(admitted * 0.9);
 		expect(Math.max(...net.sums())).toBeLessThan(admitted * 1.35);
 	});
 
-	it('a daemon that hears nobody says so', async () => {
+	it('detects that a daemon hears nobody', async () => {
 		const net = await startNet(86, 4);
 		const alone = net.daemons.at(-1)!;
 		for (const other of net.daemons) {
@@ -188,15 +188,16 @@
 		expect(alone.fleet.hearsMost(net.nowMs)).toBe(true);
 	});
 
-	// A holder of the duties that had restarted shrank the pool from 120 engines to 30 while callers
-	// had 390 requests in flight, and reported 32 requests of 2,000: it heard nobody. A daemon takes
-	// itself for one of few until it hears of many, and in a large fleet nobody reports to one that
-	// doesn't ask. Its log said `usage decided, requests 17`, 24 and 69 for three windows in a row.
+	// Guards against a restarted daemon that hears nobody: a daemon assumes a full mesh until it
+	// hears of many others, and in a large fleet no daemon reports to one that does not ask. A duty
+	// holder in that state shrank the pool from 120 engines to 30 with 390 requests in flight, and
+	// reported the usage of 32 requests out of 2,000: `usage decided, requests 17`, 24 and 69 for
+	// three windows in a row.
 	it.each([
 		{name: 'a relay', index: 0},
-		{name: 'a stand-in of the relays', index: 8},
-		{name: 'a daemon that never relays', index: 85},
-	])('of 86 daemons is heard at once by $name that restarts', async ({index}) => {
+		{name: 'a daemon that is next in line as a relay', index: 8},
+		{name: 'a daemon that is never a relay', index: 85},
+	])('of 86 daemons is counted within seconds by $name that restarts', async ({index}) => {
 		const net = await startNet(86, 4);
 		for (const daemon of net.daemons) {
 			daemon.placement.begin('i-1', 0, [], net.nowMs);
@@ -212,18 +213,18 @@
 
 	it.each([
 		{
-			name: 'one of 13', count: 13, domains: 4, left: 13, isFresh: (index: number) => index === 12,
+			name: 'one of 13 daemons', count: 13, domains: 4, left: 13, isFresh: (index: number) => index === 12,
 		},
 		{
-			name: 'one of 10 that were 20', count: 20, domains: 4, left: 10, isFresh: (index: number) => index === 9,
+			name: 'one of 10 daemons left of 20', count: 20, domains: 4, left: 10, isFresh: (index: number) => index === 9,
 		},
 		{
-			name: 'the first of 9 that were 20', count: 20, domains: 4, left: 9, isFresh: (index: number) => index === 0,
+			name: 'the first of 9 daemons left of 20', count: 20, domains: 4, left: 9, isFresh: (index: number) => index === 0,
 		},
 		{
-			name: 'all of one failure domain of 12', count: 60, domains: 5, left: 60, isFresh: (index: number) => index % 5 === 3,
+			name: 'all 12 daemons of a failure domain', count: 60, domains: 5, left: 60, isFresh: (index: number) => index % 5 === 3,
 		},
-	])('stays one when $name restart', async ({count, domains, left, isFresh}) => {
+	])('does not split when $name restart', async ({count, domains, left, isFresh}) => {
 		const net = await startNet(count, domains);
 		for (const daemon of net.daemons.slice(left)) {
 			daemon.isRunning = false;
@@ -231,7 +232,7 @@
 
 		net.run(left < count ? 70_000 : 0);
 		for (const daemon of net.running().filter((_, index) => isFresh(index))) {
-			// eslint-disable-next-line no-await-in-loop -- within a moment.
+			// eslint-disable-next-line no-await-in-loop -- all at the same simulated time.
 			await net.restart(daemon).messenger.discover(new AbortController().signal);
 		}
 
@@ -242,7 +243,7 @@
 		expect(ranks.toSorted((a, b) => a - b)).toEqual(ranks.map((_, index) => index));
 	});
 
-	it('of 86 daemons that restart one after the other stays one fleet', async () => {
+	it('of 86 daemons does not split when daemons restart one after the other', async () => {
 		const net = await startNet(86, 4);
 		for (const daemon of net.daemons.slice(0, 40)) {
 			const fresh = net.restart(daemon);
@@ -256,16 +257,16 @@
 	it.each([
 		{left: 6, roles: {mesh: 6, relay: 0, leaf: 0}},
 		{left: 10, roles: {mesh: 0, relay: 8, leaf: 2}},
-	])('of $left daemons that were many is joined by one that restarts', async ({left, roles}) => {
+	])('of $left daemons left of 20 is joined by each daemon that restarts', async ({left, roles}) => {
 		const net = await startNet(20, 4);
 		for (const daemon of net.daemons.slice(left)) {
 			daemon.isRunning = false;
 		}
 
-		// They count those that are gone for a minute.
+		// Daemons that are gone still count for a minute.
 		net.run(70_000);
 		for (const daemon of net.running()) {
-			// eslint-disable-next-line no-await-in-loop -- a small fleet is put together again from the list, by the first that reads it.
+			// eslint-disable-next-line no-await-in-loop -- each restarted daemon finds the others through the store's list.
 			await net.restart(daemon).messenger.discover(new AbortController().signal);
 			net.run(300);
 		}
@@ -278,7 +279,7 @@
 	it.each([
 		{name: 'could not be read', isDown: true, pauseMs: 2000},
 		{name: 'was read', isDown: false, pauseMs: 30_000},
-	])('looks again after $pauseMs ms where the list of daemons $name', async ({isDown, pauseMs}) => {
+	])('reads the list of daemons again after $pauseMs ms when it $name', async ({isDown, pauseMs}) => {
 		const net = await startNet(86, 4);
 		const fresh = net.restart(net.daemons[50]);
 		net.store.isDown = isDown;
@@ -287,7 +288,7 @@
 		expect(fresh.messenger.discoverPauseMs).toBe(pauseMs);
 	});
 
-	it('costs a daemon that is no relay the same at any size', async () => {
+	it('keeps the traffic of a leaf daemon independent of the size of its failure domain', async () => {
 		const bytes = await Promise.all([{count: 40, domains: 4}, {count: 120, domains: 4}].map(async ({count, domains}) => {
 			const net = await startNet(count, domains);
 			for (const daemon of net.daemons) {
--- a/src/coordination/fleet/__tests__/fleet-table.test.ts
+++ b/src/coordination/fleet/__tests__/fleet-table.test.ts
@@ -6,7 +6,7 @@
 
 type Overrides = Partial<Sender> & {admitted?: number; inFlight?: number[]};
 
-/** A report of daemon b. */
+/** Creates a report of daemon `b` about itself. */
 const report = ({admitted = 0, inFlight = [], ...sender}: Overrides = {}): Report => {
 	const digest: Digest = {
 		scope: DigestScope.Daemon, epoch: '', daemons: 1, silent: 0, use: {x: [admitted, 0]}, usage: [], inFlight,
@@ -32,10 +32,10 @@
 describe('FleetTable', () => {
 	it.each([
 		{name: 'what a daemon admitted since its last report', reports: [report({admitted: 5}), report({admitted: 8})], expected: 3},
-		{name: 'all of what a daemon that started later admitted', reports: [report({admitted: 5})], expected: 5},
-		{name: 'nothing of what an older daemon admitted before', reports: [report({uptimeMs: 100_000, admitted: 5})], expected: 0},
-		{name: 'a restarted daemon from its new start', reports: [report({admitted: 5}), report({incarnation: 'b#2', admitted: 2})], expected: 2},
-		{name: 'a refund as less', reports: [report({admitted: 5}), report({admitted: 4})], expected: -1},
+		{name: 'everything that a daemon that started later admitted', reports: [report({admitted: 5})], expected: 5},
+		{name: 'nothing that a daemon admitted before the table was created', reports: [report({uptimeMs: 100_000, admitted: 5})], expected: 0},
+		{name: 'a restarted daemon from zero', reports: [report({admitted: 5}), report({incarnation: 'b#2', admitted: 2})], expected: 2},
+		{name: 'a refund as a negative increase', reports: [report({admitted: 5}), report({admitted: 4})], expected: -1},
 	])('counts $name', ({reports, expected}) => {
 		const table = createTable();
 		const last = reports.map(item => table.noteReport(item, 1000)).at(-1);
@@ -55,7 +55,7 @@
 		{
 			afterMs: 70_000, daemons: 1, silent: 0, hearsMost: true, targets: 0,
 		},
-	])('after $afterMs ms of silence', ({afterMs, daemons, silent, hearsMost, targets}) => {
+	])('counts and addresses a daemon after $afterMs ms of silence', ({afterMs, daemons, silent, hearsMost, targets}) => {
 		const table = createTable();
 		table.noteReport(report({inFlight: [1, 7]}), 1000);
 		const nowMs = 1000 + afterMs;
--- a/src/coordination/fleet/__tests__/recent-maximum.test.ts
+++ b/src/coordination/fleet/__tests__/recent-maximum.test.ts
@@ -3,13 +3,13 @@
 
 describe('RecentMaximum', () => {
 	it.each([
-		{name: 'a rise at once', values: [[0, 5], [10, 8]], expected: 8},
-		{name: 'a fall not before its time', values: [[0, 8], [90, 5]], expected: 8},
-		{name: 'a fall after it', values: [[0, 8], [60, 5], [110, 4]], expected: 5},
-		{name: 'the last value where nothing else is left', values: [[0, 8], [500, 1]], expected: 1},
-	])('shows $name', ({values, expected}) => {
+		{name: 'a higher value at once', values: [[0, 5], [10, 8]], expected: 8},
+		{name: 'the maximum while it is within the window', values: [[0, 8], [90, 5]], expected: 8},
+		{name: 'the next lower value once the maximum has left the window', values: [[0, 8], [60, 5], [110, 4]], expected: 5},
+		{name: 'the last value when all others have left the window', values: [[0, 8], [500, 1]], expected: 1},
+	])('returns $name', ({values, expected}) => {
 		const maximum = new RecentMaximum(100);
-		const shown = values.map(([atMs, value]) => maximum.note(value, atMs));
-		expect(shown.at(-1)).toBe(expected);
+		const returned = values.map(([atMs, value]) => maximum.note(value, atMs));
+		expect(returned.at(-1)).toBe(expected);
 	});
 });
--- a/src/coordination/fleet/backend-key.ts
+++ b/src/coordination/fleet/backend-key.ts
@@ -1,21 +1,21 @@
-/** Short names of backend servers for messages between daemons: four bytes in place of an id of a dozen. */
+/** Short keys of backend servers for messages between daemons: four bytes instead of an id of a dozen. */
 import {createHash} from 'node:crypto';
 
-/** Keys kept, so that an id is hashed once; more than the replicas of any deployment. */
-const mostKeys = 10_000;
+/** Size of the cache of keys, which saves hashing an id repeatedly; larger than the number of replicas of any deployment. */
+const maxCachedKeys = 10_000;
 
-const keys = new Map<string, number>();
+const cachedKeys = new Map<string, number>();
 
-/** The key of a backend server's id. Two ids of 1,900 share one in one fleet of two thousand, which then sees the load of both at each. */
+/** Returns the key of a backend server's id. Among 1,900 ids, two share a key in one of two thousand fleets; the load of both then counts at each. */
 export function backendKey(id: string): number {
-	let key = keys.get(id);
+	let key = cachedKeys.get(id);
 	if (key === undefined) {
-		if (keys.size >= mostKeys) {
-			keys.clear();
+		if (cachedKeys.size >= maxCachedKeys) {
+			cachedKeys.clear();
 		}
 
 		key = createHash('md5').update(id).digest().readUInt32BE(0);
-		keys.set(id, key);
+		cachedKeys.set(id, key);
 	}
 
 	return key;
--- a/src/coordination/fleet/bounds-record.ts
+++ b/src/coordination/fleet/bounds-record.ts
@@ -1,7 +1,7 @@
 /**
- * What the store keeps of the accounts' limits, for the case that all daemons are lost at
- * once and nobody remembers. The holder of the duties writes what was admitted and what may
- * be admitted until it writes again: a count alone is passed before the next one is written,
+ * Stores what was admitted to each account, so that limits also hold when all daemons are lost
+ * at once together with their memory. The duty holder writes what was admitted, and a bound on
+ * what may be admitted until its next write: a count alone is exceeded before the next write,
  * and daemons that start from it would grant the difference twice.
  */
 import {Buffer} from 'node:buffer';
@@ -11,14 +11,14 @@
 import {fieldsOf, readOwnRecord} from '../own-record.js';
 import {type QuotaLedger, type WindowBound} from '../quota-ledger.js';
 
-/** Key of the record among the daemons' records; no daemon is called so. */
+/** Key of the record in the topic of the daemons' addresses; no daemon has this name. */
 export const boundsKey = '#limits';
-/** How often it is written, in milliseconds. */
-const writeMs = 1500;
-/** How often it is looked whether more was admitted than the record allows for, in milliseconds: a round of news. */
+/** Longest time between two writes of the record, in milliseconds. */
+const writeIntervalMs = 1500;
+/** Time between two checks whether more was admitted than the record allows for, in milliseconds: one round of reports. */
 export const checkMs = 250;
-/** Age up to which it is taken over at a start, in milliseconds: an older one misses too much. */
-const freshMs = 6000;
+/** Age up to which a starting daemon adopts the record, in milliseconds: an older one lacks too many admissions. */
+const maxAgeMs = 6000;
 
 type WrittenBounds = {
 	/** When it was written, in milliseconds since 1970. */
@@ -26,16 +26,16 @@
 	accounts: Record<string, WindowBound>;
 };
 
-/** The record of the accounts' limits, as one daemon writes and reads it. */
+/** Writes and reads the record of what was admitted to the accounts. */
 export class BoundsRecord {
 	private written: {atMs: number; accounts: Record<string, WindowBound>} | undefined;
 
 	constructor(private readonly parts: {store: Store; quota: QuotaLedger; lease: DutyLease; clock: SteadyClock; roundMs: number}) {}
 
 	/**
-	 * Writes the record while this daemon holds the duties and it is due.
+	 * Writes the record if this daemon holds the duties and a write is due.
 	 *
-	 * @throws {StateError} When the store does not take it.
+	 * @throws {StateError} When the store does not accept the record.
 	 */
 	async save(signal: AbortSignal): Promise<void> {
 		const {quota, lease, clock, store, roundMs} = this.parts;
@@ -53,17 +53,17 @@
 		}
 	}
 
-	/** Takes over what was written shortly before this daemon started. */
-	take(value: Uint8Array): void {
+	/** Adopts a record that was written shortly before this daemon started; an older one is ignored. */
+	restore(value: Uint8Array): void {
 		const {quota, clock} = this.parts;
 		const record = readOwnRecord(value, isWrittenBounds, 'bounds of the limits');
-		if (record && Math.abs(clock.wallNow() - record.atMs) <= freshMs) {
+		if (record && Math.abs(clock.wallNow() - record.atMs) <= maxAgeMs) {
 			quota.adoptWritten(record.accounts, clock.now());
 		}
 	}
 
 	private isDue(nowMs: number): boolean {
-		return !this.written || nowMs - this.written.atMs >= writeMs || this.parts.quota.passes(this.written.accounts, nowMs);
+		return !this.written || nowMs - this.written.atMs >= writeIntervalMs || this.parts.quota.passes(this.written.accounts, nowMs);
 	}
 }
 
--- a/src/coordination/fleet/digest-source.ts
+++ b/src/coordination/fleet/digest-builder.ts
@@ -1,23 +1,23 @@
-/** Makes the digests that a daemon tells: of itself, of its failure domain, and of all but the receiver. */
+/** Builds the digests that a daemon sends: of itself, of its failure domain, and of all daemons except the receiver. */
 import {type Digest, DigestScope, type Sender} from '../../protocol/fleet-messages.js';
 import {type Placement} from '../placement.js';
 import {type QuotaLedger} from '../quota-ledger.js';
 import {type UsageLedger} from '../usage-ledger.js';
 import {backendKey} from './backend-key.js';
-import {packCounts, writeUse} from './digest-sums.js';
+import {packCounts, writeUse} from './digest-codec.js';
 import {type FleetTable} from './fleet-table.js';
 
-/** The parts that digests are made from. */
+/** The dependencies of a digest builder. */
 export type DigestParts = {failureDomain: string; fleet: FleetTable; quota: QuotaLedger; usage: UsageLedger; placement: Placement};
 
-/** Makes digests. */
-export class DigestSource {
-	/** Whether the daemon is about to stop, and shares no limits any more. */
+/** Builds the digests of one daemon. */
+export class DigestBuilder {
+	/** Whether the daemon is about to stop and no longer shares the limits. */
 	isStopping = false;
 
 	constructor(private readonly parts: DigestParts) {}
 
-	/** What this daemon says of itself. */
+	/** Returns the digest of this daemon alone. */
 	own(): Digest {
 		const {quota, usage, placement} = this.parts;
 		return {
@@ -31,13 +31,13 @@
 		};
 	}
 
-	/** What a relay says of its failure domain. */
+	/** Returns a relay's digest of its failure domain. */
 	domain(nowMs: number): Digest {
 		const {fleet, usage, failureDomain} = this.parts;
 		return {...fleet.domainDigest(this.own(), nowMs), usage: usage.domain(failureDomain)};
 	}
 
-	/** What a relay tells: a daemon of its failure domain the sums of all others, a relay of another one those of its own. */
+	/** Returns the digest of a relay's view: for a daemon of its own failure domain the sums of all other daemons, for a relay of another one the sums of its own failure domain. */
 	view(receiver: Sender, wantsUsage: boolean, nowMs: number): Digest {
 		const {fleet, usage, failureDomain} = this.parts;
 		if (receiver.failureDomain !== failureDomain) {
--- a/src/coordination/fleet/fleet-messenger.ts
+++ b/src/coordination/fleet/fleet-messenger.ts
@@ -1,7 +1,8 @@
 /**
- * What daemons tell each other, and how they find each other: each writes its address to
- * the platform's store once and reads the others'; from then on messages go by datagram.
- * Beside the addresses the store keeps the bounds of the accounts' limits (`bounds-record.ts`).
+ * Exchanges messages with the other daemons and discovers them: each daemon writes its address
+ * to the platform's store once and reads the addresses of the others; all further messages are
+ * datagrams. The same topic of the store keeps the bounds of the accounts' limits
+ * (`bounds-record.ts`) and the quarantined requests (`quarantine-record.ts`).
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -21,47 +22,49 @@
 import {type TopicFollower} from '../topic-follower.js';
 import {type UsageLedger} from '../usage-ledger.js';
 import {fieldsOf, readOwnRecord} from '../own-record.js';
-import {BackendNews} from './backend-news.js';
+import {BackendUpdates} from './backend-updates.js';
 import {type BoundsRecord, boundsKey} from './bounds-record.js';
-import {DigestSource} from './digest-source.js';
+import {DigestBuilder} from './digest-builder.js';
 import {FleetRole, type FleetTable} from './fleet-table.js';
 import {type UseTotals} from './merged-counters.js';
-import {PeerCensus, roundMs} from './peer-census.js';
-
-/** Time without an answer after which a reading of the store's list of daemons has failed, in milliseconds. */
-const membersMs = 900;
-/** Rounds whose time is kept; an answer later than that says nothing of now. */
-const keptRounds = 16;
-/** The topics that relays tell of. */
-const toldTopics = [Topic.Config, Topic.Backends] as const;
-/** Rounds between reports to the relays that stand by; their digests then are two rounds old at most. */
-const standbyRounds = 2;
-/** Longest time between two words of a relay that answers, in milliseconds. */
-export const tellingMs = standbyRounds * roundMs;
-/** How often the store's list of daemons is read and silent ones are written to, in milliseconds: where all report to each other, and where relays tell of each other. */
-const rediscoverMs = 8000;
-const rediscoverLargeMs = 30_000;
-/** A daemon that has just started reads the list this often, in milliseconds, and for this long: those that start with it write their addresses meanwhile. One that could not read it goes on until it can. */
-const discoverEarlyMs = 2000;
-const earlyMs = 8000;
-/** A daemon that has just started asks for what was admitted in the limits' window for this long, in milliseconds: a window and the time to read the answer. */
-const youngMs = 10_000;
-/** A daemon that no relay told anything for this long misses what was admitted meanwhile, in milliseconds: two answers of the relay that stands by. */
-const untoldMs = 1100;
-/** What was admitted in the window goes with reports to all for this long after one of them asked for it, in milliseconds: three rounds. */
-const usesWantedMs = 750;
-
-/** Daemons of a small fleet that one which the store turns away asks in a round. */
-const askedPeers = 2;
-/** Rounds between two tellings of all suspected requests and limits in force, for daemons that were cut off: two seconds. */
-const repeatRounds = 8;
-/** A daemon that has just started is told all of these with each of its reports for this long, in milliseconds. */
-const newcomerMs = 3000;
-
-/** A daemon's record in the store. */
-type WrittenMember = PeerAddress & {failureDomain?: string};
-
-/** The parts a messenger works with. */
+import {PeerCounter, roundMs} from './peer-census.js';
+
+/** Timeout of a read of the store's list of daemons, in milliseconds. */
+const memberReadTimeoutMs = 900;
+/** Number of latest rounds whose send times are kept; a view that answers an older report is too old to say how current a topic is. */
+const rememberedRounds = 16;
+/** The topics of the store that daemons gossip about. */
+const gossipedTopics = [Topic.Config, Topic.Backends] as const;
+/** Rounds between two reports to standby relays; the digests that they hold are then at most two rounds old. */
+const standbyRequestRounds = 2;
+/** Longest time between two views of a relay that answers, in milliseconds. */
+export const tellingMs = standbyRequestRounds * roundMs;
+/** Time between two reads of the store's list of daemons in a full mesh, in milliseconds; each read is followed by a report to all known daemons, also silent ones. */
+const meshDiscoveryIntervalMs = 8000;
+/** Time between two reads of the list in a large fleet, in milliseconds; there relays also name each other. */
+const relayedDiscoveryIntervalMs = 30_000;
+/** Time between two reads of the list while a daemon starts up, in milliseconds; it applies until the first read succeeds. */
+const startupDiscoveryIntervalMs = 2000;
+/** How long the start-up interval applies at least, in milliseconds: daemons that start at the same time write their addresses meanwhile. */
+const startupDiscoveryMs = 8000;
+/** How long after its start a daemon requests the sums of what was admitted in the limits' window, in milliseconds: one window and the time to receive the answer. */
+const windowUsesRequestMs = 10_000;
+/** Time without a digest from a relay after which a daemon has missed admissions and requests the sums of the window, in milliseconds: two answers of the standby relay. */
+const missedUpdatesMs = 1100;
+/** How long the reports to all daemons include the sums of the window after a daemon requested them, in milliseconds: three rounds. */
+const windowUsesSendMs = 750;
+
+/** Number of peers that a daemon of a full mesh queries in each round while the store turns it away. */
+const queriedPeers = 2;
+/** Rounds between two messages with all suspected requests and all limits in force, for daemons that were cut off: two seconds. */
+const fullUpdateRounds = 8;
+/** How long after its start a daemon is sent all of these in answer to each of its reports, in milliseconds. */
+const newDaemonMs = 3000;
+
+/** The record of a daemon in the store. */
+type MemberRecord = PeerAddress & {failureDomain?: string};
+
+/** The dependencies of a messenger. */
 export type MessengerParts = {
 	settings: Pick<FrontSettings, 'name' | 'failureDomain' | 'host' | 'peerPort'> & {bounds: Pick<ServiceBounds, 'quotaWindowMs'>};
 	/** Differs for each start of the daemon. */
@@ -76,92 +79,92 @@
 	quarantine: Quarantine;
 	quarantineRecord: QuarantineRecord;
 	statedLimits: StatedLimits;
-	/** The followers of the topics that relays tell of. */
+	/** The followers of the topics that daemons gossip about. */
 	topics: Record<ToldTopic, TopicFollower>;
 	clock: SteadyClock;
 	startedAtMs: number;
 };
 
-/** Speaks with the other daemons. */
+/** Exchanges messages with the other daemons. */
 export class FleetMessenger {
 	private link: MessageLink | undefined;
-	private isAnnounced = false;
-	/** Whether the store's list of daemons was read since the start. */
+	private isAddressWritten = false;
+	/** Whether the store's list of daemons has been read since the start. */
 	private isListRead = false;
 	private round = 0;
-	/** When a relay last told something of others. */
-	private toldAtMs: number;
-	private hasMissedNews = false;
-	private readonly census: PeerCensus;
-	private readonly digests: DigestSource;
-	private readonly backendNews: BackendNews;
-	/** When a daemon last asked for what was admitted in the window. */
-	private usesWantedAtMs = Number.NEGATIVE_INFINITY;
-	/** When the reports of the latest rounds were sent. */
-	private readonly askedAtMs = new Map<number, number>();
+	/** When a view with a digest last arrived from a relay. */
+	private relayHeardAtMs: number;
+	private hasMissedUpdates = false;
+	private readonly peerCounter: PeerCounter;
+	private readonly digests: DigestBuilder;
+	private readonly backendUpdates: BackendUpdates;
+	/** When a daemon last requested the sums of the window. */
+	private windowUsesRequestedAtMs = Number.NEGATIVE_INFINITY;
+	/** When the reports of the latest rounds were sent, by number of the round. */
+	private readonly reportSentAtMs = new Map<number, number>();
 
 	constructor(private readonly parts: MessengerParts) {
-		this.toldAtMs = parts.startedAtMs;
-		this.census = new PeerCensus({...parts, quotaWindowMs: parts.settings.bounds.quotaWindowMs});
-		this.digests = new DigestSource({...parts, failureDomain: parts.settings.failureDomain});
-		this.backendNews = new BackendNews(parts);
+		this.relayHeardAtMs = parts.startedAtMs;
+		this.peerCounter = new PeerCounter({...parts, quotaWindowMs: parts.settings.bounds.quotaWindowMs});
+		this.digests = new DigestBuilder({...parts, failureDomain: parts.settings.failureDomain});
+		this.backendUpdates = new BackendUpdates(parts);
 		parts.fleet.learn(parts.settings.name, parts.settings.failureDomain, this.address);
 	}
 
-	/** Tells the others from now on that this daemon is about to stop. */
+	/** From now on, reports to the others that this daemon is about to stop. */
 	beginStop(): void {
 		this.digests.isStopping = true;
 	}
 
-	/** Time until the next reading of the store's list, in milliseconds. */
+	/** Time until the next read of the store's list, in milliseconds. */
 	get discoverPauseMs(): number {
 		const {clock, startedAtMs, fleet} = this.parts;
 		const nowMs = clock.now();
-		if (nowMs - startedAtMs < earlyMs || !this.isListRead) {
-			return discoverEarlyMs;
+		if (nowMs - startedAtMs < startupDiscoveryMs || !this.isListRead) {
+			return startupDiscoveryIntervalMs;
 		}
 
-		return fleet.roleAt(nowMs) === FleetRole.Mesh ? rediscoverMs : rediscoverLargeMs;
+		return fleet.roleAt(nowMs) === FleetRole.Mesh ? meshDiscoveryIntervalMs : relayedDiscoveryIntervalMs;
 	}
 
-	/** Speaks through this link from now on. */
+	/** Starts to send messages through a link. */
 	open(link: MessageLink): void {
 		this.link = link;
 	}
 
-	/** What limits over all daemons are decided from. */
+	/** The counts of daemons by which limits are shared. */
 	quotaPeers(nowMs: number): QuotaPeers {
-		return this.census.count(nowMs);
+		return this.peerCounter.count(nowMs);
 	}
 
-	/** Reports to the others, once a round. */
+	/** Sends the reports of a round; called once per round. */
 	report(): void {
 		const {fleet, clock, settings} = this.parts;
 		const nowMs = clock.now();
 		const role = fleet.roleAt(nowMs);
 		this.round++;
-		this.askedAtMs.set(this.round, nowMs);
-		this.askedAtMs.delete(this.round - keptRounds);
-		this.tellBackendNews(role, nowMs);
+		this.reportSentAtMs.set(this.round, nowMs);
+		this.reportSentAtMs.delete(this.round - rememberedRounds);
+		this.sendBackendUpdates(role, nowMs);
 		if (role === FleetRole.Mesh) {
 			this.link?.send(this.createReport(this.digests.own(), false, nowMs), fleet.addresses(false, nowMs));
-			this.askPeers(nowMs);
+			this.queryPeers(nowMs);
 			return;
 		}
 
-		this.noteUntold(nowMs);
-		// Keeps track of silence also while no account asks.
-		this.census.count(nowMs);
-		this.ask(settings.failureDomain, this.digests.own(), nowMs);
+		this.checkMissedUpdates(nowMs);
+		// The counter must track silent daemons also while no requests arrive.
+		this.peerCounter.count(nowMs);
+		this.requestViews(settings.failureDomain, this.digests.own(), nowMs);
 		if (role === FleetRole.Relay) {
 			const digest = this.digests.domain(nowMs);
 			for (const failureDomain of fleet.otherDomains()) {
-				this.ask(failureDomain, digest, nowMs);
+				this.requestViews(failureDomain, digest, nowMs);
 			}
 		}
 	}
 
-	/** Takes what came by datagram. */
+	/** Processes the content of a received datagram; anything that is not a message of a daemon is ignored. */
 	hear(message: unknown): void {
 		if (!isFleetMessage(message)) {
 			return;
@@ -169,32 +172,32 @@
 
 		const {fleet, quota, lease, clock} = this.parts;
 		const nowMs = clock.now();
-		// Few daemons of a large fleet hear the first teller themselves.
-		if (this.backendNews.hear(message, fleet.roleAt(nowMs) === FleetRole.Relay, nowMs)) {
+		// In a large fleet, only a few daemons receive these updates from their origin, so relays forward them.
+		if (this.backendUpdates.receive(message, fleet.roleAt(nowMs) === FleetRole.Relay, nowMs)) {
 			return;
 		}
 
 		if (message.kind === FleetMessageKind.Report) {
-			this.tellNewcomer(message, nowMs);
-			this.usesWantedAtMs = message.wantsUses ? nowMs : this.usesWantedAtMs;
+			this.sendAllToNewDaemon(message, nowMs);
+			this.windowUsesRequestedAtMs = message.wantsUses ? nowMs : this.windowUsesRequestedAtMs;
 		}
 
 		if (message.holder) {
 			lease.hear(message.holder, nowMs);
 		}
 
-		for (const [account, use] of this.note(message, nowMs)) {
+		for (const [account, use] of this.noteDigest(message, nowMs)) {
 			quota.notePeers(account, use, nowMs);
 		}
 
-		// The sums include what the digest says, so they come after it.
+		// The sums include the counts of the digest, so they are adopted after it.
 		if (message.windowUses) {
 			quota.adopt(message.windowUses, nowMs);
-			this.hasMissedNews = false;
+			this.hasMissedUpdates = false;
 		}
 
 		if (message.kind === FleetMessageKind.View) {
-			this.toldAtMs = message.digest ? nowMs : this.toldAtMs;
+			this.relayHeardAtMs = message.digest ? nowMs : this.relayHeardAtMs;
 			this.noteTopics(message, nowMs);
 		} else if (message.wantsView) {
 			this.link?.send(this.createView(message, nowMs), [message.sender.address]);
@@ -202,26 +205,26 @@
 	}
 
 	/**
-	 * Writes this daemon's address to the store once, and reads the others'.
+	 * Writes this daemon's address to the store once, and reads the addresses of the others.
 	 *
 	 * @throws {StateError} When the store does not answer.
 	 */
 	async discover(signal: AbortSignal): Promise<void> {
 		const {settings, store, fleet, clock} = this.parts;
-		if (!this.isAnnounced) {
-			const written: WrittenMember = {...this.address, failureDomain: settings.failureDomain};
+		if (!this.isAddressWritten) {
+			const written: MemberRecord = {...this.address, failureDomain: settings.failureDomain};
 			await store.append(Topic.Members, {key: settings.name, value: encode(written)}, undefined, signal);
-			this.isAnnounced = true;
+			this.isAddressWritten = true;
 		}
 
-		const batch = await store.newest(Topic.Members, membersMs, signal);
+		const batch = await store.newest(Topic.Members, memberReadTimeoutMs, signal);
 		for (const {key, value} of batch.records) {
 			if (key === boundsKey && value) {
-				this.parts.bounds.take(value);
+				this.parts.bounds.restore(value);
 			} else if (key === quarantineKey && value) {
 				this.parts.quarantineRecord.take(value);
 			} else if (value) {
-				const member = readOwnRecord(value, isWrittenMember, `address of ${key}`);
+				const member = readOwnRecord(value, isMemberRecord, `address of ${key}`);
 				if (member) {
 					fleet.learn(key, member.failureDomain ?? settings.failureDomain, {host: member.host, port: member.port});
 				}
@@ -231,7 +234,7 @@
 		this.isListRead = true;
 		const nowMs = clock.now();
 		if (fleet.roleAt(nowMs) === FleetRole.Mesh) {
-			// Relays among them answer, which tells a daemon that started late of a large fleet.
+			// Relays answer this report; that is how a daemon that starts later learns that the fleet is large.
 			this.link?.send(this.createReport(this.digests.own(), true, nowMs), fleet.addresses(true, nowMs));
 		}
 	}
@@ -240,46 +243,46 @@
 		return {host: this.parts.settings.host, port: this.parts.settings.peerPort};
 	}
 
-	/** In a small fleet, asks some others for what they have read of the topics that the store does not let this daemon read: it may turn away some daemons and serve the others. */
-	private askPeers(nowMs: number): void {
+	/** In a full mesh, queries some peers for the topics that this daemon cannot read from the store: the store may turn away some daemons and serve others. */
+	private queryPeers(nowMs: number): void {
 		const {fleet, topics} = this.parts;
-		const lost = toldTopics.filter(topic => topics[topic].isLost);
+		const lostTopics = gossipedTopics.filter(topic => topics[topic].isLost);
 		const peers = fleet.addresses(false, nowMs);
-		if (lost.length > 0 && peers.length > 0) {
-			// Others in each round, since they may be turned away as well.
-			const asked = Array.from({length: Math.min(askedPeers, peers.length)}, (_, index) => peers[((this.round * askedPeers) + index) % peers.length]);
-			const offsets = Object.fromEntries(lost.map(topic => [topic, topics[topic].nextOffset]));
-			this.link?.send({...this.createReport(this.digests.own(), true, nowMs), offsets}, asked);
+		if (lostTopics.length > 0 && peers.length > 0) {
+			// The peers change with each round, since those queried may be turned away as well.
+			const receivers = Array.from({length: Math.min(queriedPeers, peers.length)}, (_, index) => peers[((this.round * queriedPeers) + index) % peers.length]);
+			const offsets = Object.fromEntries(lostTopics.map(topic => [topic, topics[topic].nextOffset]));
+			this.link?.send({...this.createReport(this.digests.own(), true, nowMs), offsets}, receivers);
 		}
 	}
 
-	/** Tells of requests that crash backend servers, and of limits that backend servers state: what changed, and now and then all. */
-	private tellBackendNews(role: FleetRole, nowMs: number): void {
-		const withAll = this.round % repeatRounds === 0 && this.speaksForAll(role, nowMs);
-		const messages = this.backendNews.messages(this.sender(nowMs), withAll, nowMs);
-		const receivers = messages.length > 0 ? this.newsReceivers(role, nowMs) : [];
+	/** Sends the requests that crash backend servers and the limits that backend servers state: those that changed, and every {@link fullUpdateRounds} rounds all of them. */
+	private sendBackendUpdates(role: FleetRole, nowMs: number): void {
+		const includesAll = this.round % fullUpdateRounds === 0 && this.shouldRepeatAll(role, nowMs);
+		const messages = this.backendUpdates.createMessages(this.sender(nowMs), includesAll, nowMs);
+		const receivers = messages.length > 0 ? this.updateReceivers(role, nowMs) : [];
 		for (const message of messages) {
 			this.link?.send(message, receivers);
 		}
 	}
 
-	/** Tells a daemon that has just started all that it has missed. */
-	private tellNewcomer({sender}: Report, nowMs: number): void {
-		if (sender.uptimeMs < newcomerMs) {
-			for (const message of this.backendNews.messages(this.sender(nowMs), true, nowMs)) {
+	/** Sends all suspected requests and limits to a daemon that has just started. */
+	private sendAllToNewDaemon({sender}: Report, nowMs: number): void {
+		if (sender.uptimeMs < newDaemonMs) {
+			for (const message of this.backendUpdates.createMessages(this.sender(nowMs), true, nowMs)) {
 				this.link?.send(message, [sender.address]);
 			}
 		}
 	}
 
-	/** Whether this daemon repeats what is in force: in a large fleet only the first relay of a failure domain, so that each daemon hears it once. */
-	private speaksForAll(role: FleetRole, nowMs: number): boolean {
+	/** Whether this daemon repeats everything in force: in a large fleet only the first relay of each failure domain does, so that each daemon receives it once. */
+	private shouldRepeatAll(role: FleetRole, nowMs: number): boolean {
 		const {fleet, settings} = this.parts;
 		return role === FleetRole.Mesh || fleet.relays(settings.failureDomain, nowMs).at(0)?.name === settings.name;
 	}
 
-	/** Whom this daemon tells what all should know at once: in a large fleet the relays, and as one of these also the daemons that report here. */
-	private newsReceivers(role: FleetRole, nowMs: number): PeerAddress[] {
+	/** Addresses to which this daemon sends updates that must reach all daemons quickly: in a large fleet those of the relays, and from a relay also those of the daemons that report to it. */
+	private updateReceivers(role: FleetRole, nowMs: number): PeerAddress[] {
 		const {fleet, settings} = this.parts;
 		if (role === FleetRole.Mesh) {
 			return fleet.addresses(false, nowMs);
@@ -290,37 +293,37 @@
 		return role === FleetRole.Relay ? [...relays, ...fleet.addresses(false, nowMs)] : relays;
 	}
 
-	/** Asks the relays of a failure domain for a view, and those that fell silent now and then. */
-	private ask(failureDomain: string, digest: Digest, nowMs: number): void {
+	/** Requests views from the relays of a failure domain: from the first one each round, and less often from the standby and from unresponsive candidates. */
+	private requestViews(failureDomain: string, digest: Digest, nowMs: number): void {
 		const {fleet, settings} = this.parts;
-		const relays = fleet.relays(failureDomain, nowMs).filter((relay, index) => relay.name !== settings.name && (index === 0 || this.round % standbyRounds === 0));
-		const asked: NamedAddress[] = [...relays, ...fleet.probes(failureDomain, nowMs)];
-		for (const {name} of asked) {
+		const relays = fleet.relays(failureDomain, nowMs).filter((relay, index) => relay.name !== settings.name && (index === 0 || this.round % standbyRequestRounds === 0));
+		const receivers: NamedAddress[] = [...relays, ...fleet.probes(failureDomain, nowMs)];
+		for (const {name} of receivers) {
 			fleet.noteAsked(name, failureDomain, nowMs);
 		}
 
-		this.link?.send(this.createReport(digest, true, nowMs), asked.map(({address}) => address));
+		this.link?.send(this.createReport(digest, true, nowMs), receivers.map(({address}) => address));
 	}
 
 	private noteTopics({round, topics}: View, nowMs: number): void {
-		const askedAtMs = this.askedAtMs.get(round);
-		for (const topic of toldTopics) {
-			const news = topics[topic];
-			if (news && askedAtMs !== undefined) {
-				this.parts.topics[topic].hear(news, askedAtMs, nowMs);
+		const sentAtMs = this.reportSentAtMs.get(round);
+		for (const topic of gossipedTopics) {
+			const update = topics[topic];
+			if (update && sentAtMs !== undefined) {
+				this.parts.topics[topic].hear(update, sentAtMs, nowMs);
 			}
 		}
 	}
 
-	/** Asks for sums after a time without news, since a relay that begins anew does not tell what was admitted before. */
-	private noteUntold(nowMs: number): void {
-		if (!this.hasMissedNews && nowMs - this.toldAtMs > untoldMs) {
-			this.hasMissedNews = true;
+	/** Requests the sums of the window after a time without a digest, since a new relay does not report what was admitted before it became one. */
+	private checkMissedUpdates(nowMs: number): void {
+		if (!this.hasMissedUpdates && nowMs - this.relayHeardAtMs > missedUpdatesMs) {
+			this.hasMissedUpdates = true;
 			this.parts.quota.doubtHistory();
 		}
 	}
 
-	private note(message: Report | View, nowMs: number): UseTotals {
+	private noteDigest(message: Report | View, nowMs: number): UseTotals {
 		const {fleet, usage} = this.parts;
 		const {sender, digest} = message;
 		for (const [window, counts] of digest?.usage ?? []) {
@@ -339,25 +342,25 @@
 	private createReport(digest: Digest, wantsView: boolean, nowMs: number): Report {
 		return {
 			kind: FleetMessageKind.Report,
-			...this.head(!wantsView && nowMs - this.usesWantedAtMs < usesWantedMs, nowMs),
+			...this.createHead(!wantsView && nowMs - this.windowUsesRequestedAtMs < windowUsesSendMs, nowMs),
 			digest,
 			wantsView,
-			wantsUses: this.hasMissedNews || (this.parts.quota.lacksSums && nowMs - this.parts.startedAtMs < youngMs),
+			wantsUses: this.hasMissedUpdates || (this.parts.quota.lacksSums && nowMs - this.parts.startedAtMs < windowUsesRequestMs),
 			wantsUsage: this.parts.lease.isConfirmedAt(nowMs),
 			round: this.round,
-			offsets: wantsView ? Object.fromEntries(toldTopics.map(topic => [topic, this.parts.topics[topic].nextOffset])) : {},
+			offsets: wantsView ? Object.fromEntries(gossipedTopics.map(topic => [topic, this.parts.topics[topic].nextOffset])) : {},
 		};
 	}
 
 	private createView({sender: receiver, wantsUses, wantsUsage, round, offsets}: Report, nowMs: number): View {
 		const {fleet, settings} = this.parts;
 		const isRelay = fleet.roleAt(nowMs) === FleetRole.Relay;
-		const relayed = receiver.failureDomain === settings.failureDomain ? toldTopics : [];
-		// In a small fleet each daemon reads for itself, but those that the store turns away.
-		const topics = isRelay ? relayed : toldTopics.filter(topic => offsets[topic] !== undefined);
+		const domainTopics = receiver.failureDomain === settings.failureDomain ? gossipedTopics : [];
+		// In a full mesh, every daemon reads the store itself, except one that the store turns away: it names the topics that it lacks by their offsets.
+		const topics = isRelay ? domainTopics : gossipedTopics.filter(topic => offsets[topic] !== undefined);
 		return {
 			kind: FleetMessageKind.View,
-			...this.head(wantsUses, nowMs),
+			...this.createHead(wantsUses, nowMs),
 			digest: isRelay ? this.digests.view(receiver, wantsUsage, nowMs) : undefined,
 			relays: fleet.relays(settings.failureDomain, nowMs),
 			round,
@@ -372,12 +375,12 @@
 		};
 	}
 
-	private head(withUses: boolean, nowMs: number): Pick<Report, 'sender' | 'holder' | 'windowUses'> {
+	private createHead(includesUses: boolean, nowMs: number): Pick<Report, 'sender' | 'holder' | 'windowUses'> {
 		const {lease, quota} = this.parts;
 		return {
 			sender: this.sender(nowMs),
 			holder: lease.news(nowMs),
-			windowUses: withUses ? quota.profiles(nowMs) : undefined,
+			windowUses: includesUses ? quota.profiles(nowMs) : undefined,
 		};
 	}
 }
@@ -386,7 +389,7 @@
 	return Buffer.from(JSON.stringify(value));
 }
 
-function isWrittenMember(value: unknown): value is WrittenMember {
+function isMemberRecord(value: unknown): value is MemberRecord {
 	const {host, port, failureDomain} = fieldsOf(value);
 	return typeof host === 'string' && Number.isInteger(port) && (failureDomain === undefined || typeof failureDomain === 'string');
 }
--- a/src/coordination/fleet/fleet-table.ts
+++ b/src/coordination/fleet/fleet-table.ts
@@ -1,111 +1,114 @@
 /**
- * The other daemons, as this one last heard of them. Up to a dozen daemons report to each
- * other. In a larger fleet each reports to the relays of its failure domain, the relays
- * tell each other the sums of their failure domains, and answer with the sums of all
- * others: a daemon's messages then grow with its failure domain at most. At 86 daemons
- * reports to all came every 1.8 s, too late for the load of engines and the usage counts.
+ * The state of the other daemons, as this daemon last heard it. Up to a dozen daemons form a
+ * full mesh, in which each one reports to all others. In a larger fleet each daemon reports to
+ * the relays of its failure domain. The relays send each other the sums of their failure
+ * domains, and answer a report with the sums of all other daemons, so a daemon's traffic grows
+ * at most with the size of its failure domain. In a full mesh of 86 daemons, reports arrived
+ * only every 1.8 s, too late for the load of engines and the usage counts.
  */
 import {
 	type Digest, DigestScope, type NamedAddress, type PeerAddress, type Report, type Sender, type View,
 } from '../../protocol/fleet-messages.js';
 import {createLogger} from '../../log.js';
 import {type AccountUse} from '../account-window.js';
-import {readUse, sumCounts, writeUse} from './digest-sums.js';
+import {readUse, sumPackedCounts, writeUse} from './digest-codec.js';
 import {type UseTotals} from './merged-counters.js';
-import {RelayChoice} from './relay-choice.js';
+import {RelaySelection} from './relay-selection.js';
 import {
-	type Contribution, CountedUse, KeptLoad, type LoadDigest, type LoadSources,
+	type DaemonLoad, UsageSums, LoadCache, type LoadDigest, type LoadSources,
 } from './relay-sums.js';
 import {
-	countedMs, freshMs, goneMs, type Headcount, type Part, silentMs, sumHeadcounts, ToldGroup, toldPart,
-} from './told-group.js';
+	countedForMs, loadExpiryMs, goneAfterMs, type DaemonCounts, type FleetPart, silentAfterMs, sumDaemonCounts, ReportedGroup, reportedPart,
+} from './reported-group.js';
 
 const log = createLogger('fleet');
 
-/** What a daemon is to the others. */
+/** The role of a daemon in the exchange of reports. */
 export enum FleetRole {
-	/** One of few, which all report to each other. */
+	/** A daemon of a small fleet, in which every daemon reports to all others. */
 	Mesh = 'mesh',
+	/** A daemon that aggregates and forwards the reports of its failure domain. */
 	Relay = 'relay',
+	/** A daemon that reports only to the relays of its failure domain. */
 	Leaf = 'leaf',
 }
 
-/** Most daemons that all report to each other; six and nine did on calm and bad days. */
-const meshDaemons = 12;
-/** A fleet that shrinks goes back to that at this many, so that one that varies does not change by turns. */
-const meshAgainDaemons = 8;
-/** ... and has been for this long, in milliseconds: a new relay hears of all within a few rounds. */
-const smallForMs = 5000;
-/** A new relay goes by what relays told it for this long, in milliseconds: until its failure domain's daemons and the other relays have reported. */
-const newRelayMs = 1000;
-/** How often a daemon looks what it is to the others, in milliseconds: twice a round. */
-const roleCheckMs = 100;
-/** The sums of requests in flight are made anew after this, in milliseconds: a fifth of a round. */
-const loadSumsMs = 50;
-
-/** A daemon that reported by itself. */
-type Row = {sender: Sender; digest: Digest; heardAtMs: number};
-
-/** The daemon that keeps the table. */
-export type Self = {name: string; failureDomain: string; startedAtMs: number};
-
-/** The rest of the fleet, for one daemon. */
+/** Largest fleet that forms a full mesh, in daemons: a mesh of six or nine keeps up also under faults, one of 86 does not. */
+const meshMaxDaemons = 12;
+/** Size at which a shrinking fleet returns to a full mesh, in daemons; it is below {@link meshMaxDaemons}, so that a fleet of varying size does not switch back and forth. */
+const meshReturnMaxDaemons = 8;
+/** How long a fleet must have been that small before it returns to a full mesh, in milliseconds: a new relay needs a few rounds to hear of all daemons. */
+const meshReturnDelayMs = 5000;
+/** How long a new relay still uses the sums that other relays sent it, in milliseconds: until the daemons of its failure domain and the other relays have reported to it. */
+const relayWarmUpMs = 1000;
+/** Shortest time between two updates of the role, in milliseconds: at least two updates fit into a round. */
+const roleCheckIntervalMs = 100;
+/** Age at which the sums of requests in flight are recomputed, in milliseconds: a fifth of a round. */
+const loadSumsMaxAgeMs = 50;
+
+/** The latest report that a daemon sent about itself. */
+type PeerEntry = {sender: Sender; digest: Digest; heardAtMs: number};
+
+/** The daemon that owns the table. */
+export type LocalDaemon = {name: string; failureDomain: string; startedAtMs: number};
+
+/** Tracks the other daemons of the fleet for one daemon. */
 export class FleetTable {
 	private role = FleetRole.Mesh;
 	private roleSinceMs: number;
-	private readonly rows = new Map<string, Row>();
-	private readonly relayChoices = new Map<string, RelayChoice>();
-	/** What this daemon counted of each daemon and failure domain since it started. */
-	private readonly counted = new CountedUse();
-	private readonly keptLoad = new KeptLoad();
-	private readonly domains = new Map<string, ToldGroup>();
-	private readonly rest = new ToldGroup();
-	/** Since when the fleet has been small enough to report to all. */
+	private readonly peers = new Map<string, PeerEntry>();
+	private readonly relaySelections = new Map<string, RelaySelection>();
+	/** Usage of each daemon and failure domain that this daemon has counted since it started. */
+	private readonly usageSums = new UsageSums();
+	private readonly loadCache = new LoadCache();
+	private readonly domainGroups = new Map<string, ReportedGroup>();
+	private readonly restGroup = new ReportedGroup();
+	/** Since when the fleet has been small enough for a full mesh. */
 	private smallSinceMs: number | undefined;
 	private roleCheckedAtMs = Number.NEGATIVE_INFINITY;
-	private loadSums = {atMs: Number.NEGATIVE_INFINITY, counts: new Map<number, number>()};
+	private inFlightSums = {atMs: Number.NEGATIVE_INFINITY, counts: new Map<number, number>()};
 
-	constructor(private readonly self: Self) {
-		this.roleSinceMs = self.startedAtMs;
-		this.relayChoices.set(self.failureDomain, new RelayChoice(self.name));
+	constructor(private readonly local: LocalDaemon) {
+		this.roleSinceMs = local.startedAtMs;
+		this.relaySelections.set(local.failureDomain, new RelaySelection(local.name));
 	}
 
-	/** Notes an address from the platform's store. */
+	/** Records the address of a daemon that the platform's store or another daemon named. */
 	learn(name: string, failureDomain: string, address: PeerAddress): void {
-		this.relayChoice(failureDomain).learn(name, address);
+		this.relaySelection(failureDomain).learn(name, address);
 	}
 
-	/** Notes that a daemon was asked for a view. */
+	/** Records that a daemon was asked for a view. */
 	noteAsked(name: string, failureDomain: string, nowMs: number): void {
-		this.relayChoice(failureDomain).noteAsked(name, nowMs);
+		this.relaySelection(failureDomain).noteAsked(name, nowMs);
 	}
 
 	/**
-	 * Takes a report.
+	 * Records a report.
 	 *
-	 * @returns Cost units that its daemons were found to have admitted and refused since the last one, by account.
+	 * @returns The increase in admitted and refused cost units since the last report of the daemons it covers, by account.
 	 */
 	noteReport(report: Report, nowMs: number): UseTotals {
 		const {sender, digest} = report;
 		this.noteSender(sender);
-		const growth = digest.scope === DigestScope.Domain ? this.noteDomain(sender, digest, nowMs) : this.noteRow(sender, digest, nowMs);
+		const growth = digest.scope === DigestScope.Domain ? this.noteDomain(sender, digest, nowMs) : this.notePeer(sender, digest, nowMs);
 		this.updateRole(nowMs);
 		return growth;
 	}
 
-	/** Takes a view; returns as {@link noteReport}. */
+	/** Records a view; the return value is that of {@link noteReport}. */
 	noteView(view: View, nowMs: number): UseTotals {
 		const {sender, digest, relays} = view;
 		this.noteSender(sender);
 		for (const {name, address} of relays) {
-			this.relayChoice(sender.failureDomain).learn(name, address);
+			this.relaySelection(sender.failureDomain).learn(name, address);
 		}
 
 		let growth = new Map<string, AccountUse>();
 		if (digest?.scope === DigestScope.Domain) {
 			growth = this.noteDomain(sender, digest, nowMs);
 		} else if (digest?.scope === DigestScope.Rest) {
-			growth = this.rest.note(sender, digest, nowMs);
+			growth = this.restGroup.note(sender, digest, nowMs);
 			growth = this.role === FleetRole.Leaf ? growth : new Map<string, AccountUse>();
 		}
 
@@ -113,170 +116,170 @@
 		return growth;
 	}
 
-	/** What this daemon is to the others now. */
+	/** The current role of this daemon. */
 	roleAt(nowMs: number): FleetRole {
 		this.updateRole(nowMs);
 		return this.role;
 	}
 
-	/** When it became that; totals that it tells start anew then. */
+	/** Identifies the period since this daemon took its role; the totals that it reports start over with each period. */
 	get epoch(): string {
 		return String(Math.round(this.roleSinceMs));
 	}
 
-	/** The relays of a failure domain. */
+	/** The relays of a failure domain, the one to ask in each round first. */
 	relays(failureDomain: string, nowMs: number): NamedAddress[] {
-		return this.relayChoice(failureDomain).relays(nowMs);
+		return this.relaySelection(failureDomain).relays(nowMs);
 	}
 
-	/** Daemons of a failure domain that would relay if they answered, to be asked again. */
+	/** Unresponsive daemons of a failure domain that would be relays if they answered, and that are due to be asked again. */
 	probes(failureDomain: string, nowMs: number): NamedAddress[] {
-		return this.relayChoice(failureDomain).probes(nowMs);
+		return this.relaySelection(failureDomain).probes(nowMs);
 	}
 
 	/** Failure domains other than this daemon's in which daemons are known. */
 	otherDomains(): string[] {
-		return [...this.relayChoices.keys()].filter(domain => domain !== this.self.failureDomain);
+		return [...this.relaySelections.keys()].filter(domain => domain !== this.local.failureDomain);
 	}
 
-	/** Where the daemons are that were heard of not long ago, or with `all` every one that is known. */
-	addresses(all: boolean, nowMs: number): PeerAddress[] {
-		if (!all) {
-			return this.rowsWithin(goneMs, nowMs).map(row => row.sender.address);
+	/** Addresses of the daemons that are not considered gone, or with `includesGone` of all known daemons. */
+	addresses(includesGone: boolean, nowMs: number): PeerAddress[] {
+		if (!includesGone) {
+			return this.peersHeardWithin(goneAfterMs, nowMs).map(peer => peer.sender.address);
 		}
 
-		return [...this.relayChoices.values()].flatMap(choice => choice.all()).filter(({name}) => name !== this.self.name).map(({address}) => address);
+		return [...this.relaySelections.values()].flatMap(selection => selection.all()).filter(({name}) => name !== this.local.name).map(({address}) => address);
 	}
 
-	/** Daemons whose addresses are known, those that are gone included. */
+	/** Number of daemons whose addresses are known, including those that are gone. */
 	get known(): number {
 		let known = 0;
-		for (const choice of this.relayChoices.values()) {
-			known += choice.size;
+		for (const selection of this.relaySelections.values()) {
+			known += selection.size;
 		}
 
 		return known;
 	}
 
-	/** Daemons that share the limits, this one included. */
+	/** Number of daemons that share the limits, including this one. */
 	daemons(nowMs: number): number {
-		return 1 + this.headcount(nowMs).daemons;
+		return 1 + this.daemonCounts(nowMs).daemons;
 	}
 
-	/** Daemons that were heard of not long ago and are silent now. */
+	/** Number of daemons that are silent but not yet considered gone. */
 	silent(nowMs: number): number {
-		return this.headcount(nowMs).silent;
+		return this.daemonCounts(nowMs).silent;
 	}
 
-	/** Whether at least half of the daemons of late can be heard; true where there are none. */
+	/** Whether at least half of the other daemons that were not long ago heard from still report; true if there are none. */
 	hearsMost(nowMs: number): boolean {
-		const {daemons, silent} = this.headcount(nowMs);
+		const {daemons, silent} = this.daemonCounts(nowMs);
 		return daemons - silent >= silent;
 	}
 
-	/** This daemon's place among those that may take the singleton duties; undefined for one that may not. */
+	/** This daemon's position, by name, among the candidates for the singleton duties; undefined if it is not a candidate. */
 	rank(nowMs: number): number | undefined {
-		return this.roleAt(nowMs) === FleetRole.Leaf ? undefined : this.eligible(nowMs).toSorted().indexOf(this.self.name);
+		return this.roleAt(nowMs) === FleetRole.Leaf ? undefined : this.dutyCandidates(nowMs).toSorted().indexOf(this.local.name);
 	}
 
-	/** Names of the daemons that may act for all: every one that answers, or the relays of a large fleet, which all daemons know. */
-	eligible(nowMs: number): string[] {
+	/** Names of the daemons that may act for the whole fleet: every responsive daemon, or in a large fleet the relays, which all daemons know. */
+	dutyCandidates(nowMs: number): string[] {
 		const role = this.roleAt(nowMs);
 		const others = role === FleetRole.Mesh
-			? this.rowsWithin(silentMs, nowMs).map(row => row.sender.name)
-			: [...this.relayChoices.values()].flatMap(choice => choice.relays(nowMs).map(({name}) => name)).filter(name => name !== this.self.name);
-		return role === FleetRole.Leaf ? others : [...others, this.self.name];
+			? this.peersHeardWithin(silentAfterMs, nowMs).map(peer => peer.sender.name)
+			: [...this.relaySelections.values()].flatMap(selection => selection.relays(nowMs).map(({name}) => name)).filter(name => name !== this.local.name);
+		return role === FleetRole.Leaf ? others : [...others, this.local.name];
 	}
 
-	/** Requests that the other daemons have in flight at a backend server, by its key. */
+	/** Number of requests that the other daemons have in flight at the backend server with a key. */
 	inFlight(backendKey: number, nowMs: number): number {
-		if (nowMs - this.loadSums.atMs >= loadSumsMs) {
-			this.loadSums = {atMs: nowMs, counts: sumCounts(this.parts(nowMs).flatMap(part => part.inFlight()))};
+		if (nowMs - this.inFlightSums.atMs >= loadSumsMaxAgeMs) {
+			this.inFlightSums = {atMs: nowMs, counts: sumPackedCounts(this.parts(nowMs).flatMap(part => part.inFlight()))};
 		}
 
-		return this.loadSums.counts.get(backendKey) ?? 0;
+		return this.inFlightSums.counts.get(backendKey) ?? 0;
 	}
 
 	/**
-	 * Sums over this daemon's failure domain.
+	 * Creates the digest of this daemon's failure domain.
 	 *
 	 * @param own This daemon's own digest.
 	 */
 	domainDigest(own: Digest, nowMs: number): Digest {
-		return this.digest(DigestScope.Domain, this.counted.domainTotals(readUse(own)), this.keptLoad.domain(own, this.loadSources(nowMs), nowMs));
+		return this.digest(DigestScope.Domain, this.usageSums.domainTotals(readUse(own)), this.loadCache.domain(own, this.loadSources(nowMs), nowMs));
 	}
 
-	/** Sums over all daemons but one of this failure domain. */
+	/** Creates the digest of all daemons except the receiver, a daemon of this failure domain. */
 	restDigest(own: Digest, receiver: string, nowMs: number): Digest {
-		return this.digest(DigestScope.Rest, this.counted.restTotals(readUse(own), receiver), this.keptLoad.rest(own, receiver, this.loadSources(nowMs), nowMs));
+		return this.digest(DigestScope.Rest, this.usageSums.restTotals(readUse(own), receiver), this.loadCache.rest(own, receiver, this.loadSources(nowMs), nowMs));
 	}
 
-	/** What a state dump shows. */
+	/** Returns the table's part of the state dump. */
 	toJson(nowMs: number): unknown {
 		return {
 			role: this.role,
 			daemons: this.daemons(nowMs),
 			silent: this.silent(nowMs),
-			relays: Object.fromEntries([...this.relayChoices].map(([domain, choice]) => [domain, choice.relays(nowMs).map(({name}) => name)])),
-			rows: [...this.rows.values()].map(({sender, heardAtMs}) => ({name: sender.name, incarnation: sender.incarnation, silentMs: Math.round(nowMs - heardAtMs)})),
+			relays: Object.fromEntries([...this.relaySelections].map(([domain, selection]) => [domain, selection.relays(nowMs).map(({name}) => name)])),
+			rows: [...this.peers.values()].map(({sender, heardAtMs}) => ({name: sender.name, incarnation: sender.incarnation, silentMs: Math.round(nowMs - heardAtMs)})),
 		};
 	}
 
 	private noteSender(sender: Sender): void {
-		this.relayChoice(sender.failureDomain).noteHeard(sender.name, sender.address, sender.isStopping);
+		this.relaySelection(sender.failureDomain).noteHeard(sender.name, sender.address, sender.isStopping);
 	}
 
-	private noteRow(sender: Sender, digest: Digest, nowMs: number): UseTotals {
-		const before = this.rows.get(sender.name);
-		this.rows.set(sender.name, {sender, digest, heardAtMs: nowMs});
-		if (!this.countsRow(sender, nowMs)) {
+	private notePeer(sender: Sender, digest: Digest, nowMs: number): UseTotals {
+		const previous = this.peers.get(sender.name);
+		this.peers.set(sender.name, {sender, digest, heardAtMs: nowMs});
+		if (!this.countsPeer(sender, nowMs)) {
 			return new Map();
 		}
 
-		const isContinued = before?.sender.incarnation === sender.incarnation;
-		// What a daemon admitted before this one started, or while relays told of it, is not counted again.
-		const isHistory = isContinued ? before.heardAtMs < this.roleSinceMs : sender.uptimeMs > nowMs - this.roleSinceMs;
+		const isSameIncarnation = previous?.sender.incarnation === sender.incarnation;
+		// What a daemon admitted before this one started or took its role is not counted again: relays may have reported it.
+		const isCountedElsewhere = isSameIncarnation ? previous.heardAtMs < this.roleSinceMs : sender.uptimeMs > nowMs - this.roleSinceMs;
 		const growth: UseTotals = new Map();
 		for (const [account, total] of readUse(digest)) {
-			const known = isContinued ? before.digest.use[account] ?? [0, 0] : [0, 0];
-			growth.set(account, isHistory ? {admitted: 0, refused: 0} : {admitted: total.admitted - known[0], refused: total.refused - known[1]});
+			const known = isSameIncarnation ? previous.digest.use[account] ?? [0, 0] : [0, 0];
+			growth.set(account, isCountedElsewhere ? {admitted: 0, refused: 0} : {admitted: total.admitted - known[0], refused: total.refused - known[1]});
 		}
 
-		this.counted.addDaemon(sender.name, sender.failureDomain === this.self.failureDomain, growth);
+		this.usageSums.addDaemon(sender.name, sender.failureDomain === this.local.failureDomain, growth);
 		return growth;
 	}
 
 	private noteDomain(sender: Sender, digest: Digest, nowMs: number): UseTotals {
-		if (sender.failureDomain === this.self.failureDomain) {
+		if (sender.failureDomain === this.local.failureDomain) {
 			return new Map();
 		}
 
-		const group = this.domains.get(sender.failureDomain) ?? new ToldGroup();
-		this.domains.set(sender.failureDomain, group);
+		const group = this.domainGroups.get(sender.failureDomain) ?? new ReportedGroup();
+		this.domainGroups.set(sender.failureDomain, group);
 		const growth = group.note(sender, digest, nowMs);
 		if (this.role !== FleetRole.Relay) {
 			return new Map();
 		}
 
-		this.counted.addDomain(growth);
+		this.usageSums.addDomain(growth);
 		return growth;
 	}
 
-	/** Whether a daemon's own reports count, rather than what relays say of it. */
-	private countsRow(sender: Sender, nowMs: number): boolean {
+	/** Whether a daemon's own reports count, rather than the sums in which relays include it. */
+	private countsPeer(sender: Sender, nowMs: number): boolean {
 		if (this.role === FleetRole.Mesh) {
 			return true;
 		}
 
 		if (this.role === FleetRole.Leaf) {
-			return this.rest.best(countedMs, nowMs) === undefined;
+			return this.restGroup.mostComplete(countedForMs, nowMs) === undefined;
 		}
 
-		return sender.failureDomain === this.self.failureDomain || this.domains.get(sender.failureDomain)?.best(countedMs, nowMs) === undefined;
+		return sender.failureDomain === this.local.failureDomain || this.domainGroups.get(sender.failureDomain)?.mostComplete(countedForMs, nowMs) === undefined;
 	}
 
 	private updateRole(nowMs: number): void {
-		if (nowMs - this.roleCheckedAtMs < roleCheckMs) {
+		if (nowMs - this.roleCheckedAtMs < roleCheckIntervalMs) {
 			return;
 		}
 
@@ -293,68 +296,69 @@
 
 	private roleFor(nowMs: number): FleetRole {
 		const daemons = this.daemons(nowMs);
-		this.smallSinceMs = daemons <= meshAgainDaemons ? this.smallSinceMs ?? nowMs : undefined;
-		// In a large fleet nobody reports to a daemon that does not ask. One that restarted heard nobody, held the duties and gave up three quarters of the pool.
-		const isSmall = this.role === FleetRole.Mesh ? daemons <= meshDaemons && this.told(nowMs) <= meshAgainDaemons : this.smallSinceMs !== undefined && nowMs - this.smallSinceMs >= smallForMs;
+		this.smallSinceMs = daemons <= meshReturnMaxDaemons ? this.smallSinceMs ?? nowMs : undefined;
+		// In a large fleet, no daemon reports to one that does not ask, so a restarted daemon hears nobody at first.
+		// It must go by what relays report: a duty holder that assumed a full mesh released three quarters of the pool.
+		const isSmall = this.role === FleetRole.Mesh ? daemons <= meshMaxDaemons && this.reportedDaemons(nowMs) <= meshReturnMaxDaemons : this.smallSinceMs !== undefined && nowMs - this.smallSinceMs >= meshReturnDelayMs;
 		if (isSmall) {
 			return FleetRole.Mesh;
 		}
 
-		return this.relays(this.self.failureDomain, nowMs).some(({name}) => name === this.self.name) ? FleetRole.Relay : FleetRole.Leaf;
+		return this.relays(this.local.failureDomain, nowMs).some(({name}) => name === this.local.name) ? FleetRole.Relay : FleetRole.Leaf;
 	}
 
-	/** Daemons that relays tell of, this one included: by all that one of this failure domain knows, or by the failure domains that others tell of. Only in a large fleet there are any. */
-	private told(nowMs: number): number {
+	/** Size of the fleet by the sums that relays send, including this daemon: the larger of what a relay of this failure domain reports and what the relays of the other ones report together. Only large fleets have relays. */
+	private reportedDaemons(nowMs: number): number {
 		let inDomains = 0;
-		for (const group of this.domains.values()) {
-			inDomains += group.best(silentMs, nowMs)?.digest.daemons ?? 0;
+		for (const group of this.domainGroups.values()) {
+			inDomains += group.mostComplete(silentAfterMs, nowMs)?.digest.daemons ?? 0;
 		}
 
-		const own = inDomains > 0 ? this.rowsPart(this.domainRows(), nowMs).count().daemons : 0;
-		return 1 + Math.max(this.rest.best(silentMs, nowMs)?.digest.daemons ?? 0, inDomains + own);
+		const own = inDomains > 0 ? this.peersPart(this.domainPeers(), nowMs).count().daemons : 0;
+		return 1 + Math.max(this.restGroup.mostComplete(silentAfterMs, nowMs)?.digest.daemons ?? 0, inDomains + own);
 	}
 
-	private headcount(nowMs: number): Headcount {
-		return sumHeadcounts(this.parts(nowMs).map(part => part.count()));
+	private daemonCounts(nowMs: number): DaemonCounts {
+		return sumDaemonCounts(this.parts(nowMs).map(part => part.count()));
 	}
 
-	/** The parts that together make up the rest of the fleet. */
-	private parts(nowMs: number): Part[] {
+	/** The disjoint parts that together make up the rest of the fleet. */
+	private parts(nowMs: number): FleetPart[] {
 		if (this.role === FleetRole.Mesh) {
-			return [this.rowsPart([...this.rows.values()], nowMs)];
+			return [this.peersPart([...this.peers.values()], nowMs)];
 		}
 
-		const isNewRelay = this.role === FleetRole.Relay && nowMs - this.roleSinceMs < newRelayMs;
+		const isNewRelay = this.role === FleetRole.Relay && nowMs - this.roleSinceMs < relayWarmUpMs;
 		if (this.role === FleetRole.Leaf || isNewRelay) {
-			const told = this.rest.best(silentMs, nowMs) ?? this.rest.best(countedMs, nowMs);
-			return [told ? toldPart(told, nowMs) : this.rowsPart([...this.rows.values()], nowMs)];
+			const report = this.restGroup.mostComplete(silentAfterMs, nowMs) ?? this.restGroup.mostComplete(countedForMs, nowMs);
+			return [report ? reportedPart(report, nowMs) : this.peersPart([...this.peers.values()], nowMs)];
 		}
 
-		return [this.rowsPart(this.domainRows(), nowMs), ...this.otherDomains().map(domain => this.domainPart(domain, nowMs))];
+		return [this.peersPart(this.domainPeers(), nowMs), ...this.otherDomains().map(domain => this.domainPart(domain, nowMs))];
 	}
 
-	private domainPart(failureDomain: string, nowMs: number): Part {
-		const group = this.domains.get(failureDomain);
-		const told = group?.best(silentMs, nowMs) ?? group?.best(countedMs, nowMs);
-		return told ? toldPart(told, nowMs) : this.rowsPart([...this.rows.values()].filter(row => row.sender.failureDomain === failureDomain), nowMs);
+	private domainPart(failureDomain: string, nowMs: number): FleetPart {
+		const group = this.domainGroups.get(failureDomain);
+		const report = group?.mostComplete(silentAfterMs, nowMs) ?? group?.mostComplete(countedForMs, nowMs);
+		return report ? reportedPart(report, nowMs) : this.peersPart([...this.peers.values()].filter(peer => peer.sender.failureDomain === failureDomain), nowMs);
 	}
 
-	private domainRows(): Row[] {
-		return [...this.rows.values()].filter(row => row.sender.failureDomain === this.self.failureDomain);
+	private domainPeers(): PeerEntry[] {
+		return [...this.peers.values()].filter(peer => peer.sender.failureDomain === this.local.failureDomain);
 	}
 
-	private rowsWithin(ageMs: number, nowMs: number): Row[] {
-		return [...this.rows.values()].filter(row => nowMs - row.heardAtMs <= ageMs);
+	private peersHeardWithin(maxAgeMs: number, nowMs: number): PeerEntry[] {
+		return [...this.peers.values()].filter(peer => nowMs - peer.heardAtMs <= maxAgeMs);
 	}
 
-	private rowsPart(rows: Row[], nowMs: number): Part {
-		const contributions = rows.map(row => rowContribution(row, nowMs));
-		return {count: () => sumHeadcounts(contributions), inFlight: () => contributions.map(({inFlight}) => inFlight)};
+	private peersPart(peers: PeerEntry[], nowMs: number): FleetPart {
+		const loads = peers.map(peer => daemonLoad(peer, nowMs));
+		return {count: () => sumDaemonCounts(loads), inFlight: () => loads.map(({inFlight}) => inFlight)};
 	}
 
 	private loadSources(nowMs: number): LoadSources {
 		return {
-			daemons: () => new Map(this.domainRows().map(row => [row.sender.name, rowContribution(row, nowMs)])),
+			daemons: () => new Map(this.domainPeers().map(peer => [peer.sender.name, daemonLoad(peer, nowMs)])),
 			otherDomains: () => this.otherDomains().map(domain => this.domainPart(domain, nowMs)),
 		};
 	}
@@ -365,23 +369,23 @@
 		};
 	}
 
-	private relayChoice(failureDomain: string): RelayChoice {
-		let choice = this.relayChoices.get(failureDomain);
-		if (!choice) {
-			choice = new RelayChoice(undefined);
-			this.relayChoices.set(failureDomain, choice);
+	private relaySelection(failureDomain: string): RelaySelection {
+		let selection = this.relaySelections.get(failureDomain);
+		if (!selection) {
+			selection = new RelaySelection(undefined);
+			this.relaySelections.set(failureDomain, selection);
 		}
 
-		return choice;
+		return selection;
 	}
 }
 
-/** What a daemon that reported by itself adds to sums. */
-function rowContribution({sender, digest, heardAtMs}: Row, nowMs: number): Contribution {
+/** What a daemon's own report contributes to the sums. */
+function daemonLoad({sender, digest, heardAtMs}: PeerEntry, nowMs: number): DaemonLoad {
 	const ageMs = nowMs - heardAtMs;
 	return {
-		daemons: ageMs <= countedMs && !sender.isStopping ? 1 : 0,
-		silent: ageMs > silentMs && ageMs <= goneMs ? 1 : 0,
-		inFlight: ageMs <= freshMs ? digest.inFlight : [],
+		daemons: ageMs <= countedForMs && !sender.isStopping ? 1 : 0,
+		silent: ageMs > silentAfterMs && ageMs <= goneAfterMs ? 1 : 0,
+		inFlight: ageMs <= loadExpiryMs ? digest.inFlight : [],
 	};
 }
--- a/src/coordination/fleet/merged-counters.ts
+++ b/src/coordination/fleet/merged-counters.ts
@@ -1,58 +1,58 @@
 /**
- * Totals that several daemons tell of the same group, each counted from a start of its
- * own. The merged total follows whoever has counted most since it was first heard, so a
- * relay that dies, lags or begins anew neither loses what another one counted nor counts it
- * twice.
+ * Merges the totals that several daemons, the reporters, send about the same group, each
+ * counted from a start of its own. The merged total follows the reporter that has counted most
+ * since its first report, so a relay that dies, lags or starts over neither loses what another
+ * relay counted nor counts it twice.
  */
 import {type AccountUse} from '../account-window.js';
 
 /** Totals by client account. */
 export type UseTotals = Map<string, AccountUse>;
 
-/** A teller that said nothing for this long is forgotten, in milliseconds. */
-const forgottenMs = 60_000;
+/** Time without a report after which a reporter is removed, in milliseconds. */
+const reporterExpiryMs = 60_000;
 
-type Teller = {
+type Reporter = {
 	heardAtMs: number;
-	/** What it said first. */
-	first: UseTotals;
-	/** What was merged when it was first heard. */
-	base: UseTotals;
+	/** The totals of its first report. */
+	firstTotals: UseTotals;
+	/** The merged totals before its first report. */
+	mergedAtStart: UseTotals;
 };
 
-const none: AccountUse = {admitted: 0, refused: 0};
+const zeroUse: AccountUse = {admitted: 0, refused: 0};
 
 /** Adds to the totals of one account. */
 export function addUse(totals: UseTotals, account: string, use: AccountUse): void {
-	const {admitted, refused} = totals.get(account) ?? none;
+	const {admitted, refused} = totals.get(account) ?? zeroUse;
 	totals.set(account, {admitted: admitted + use.admitted, refused: refused + use.refused});
 }
 
-/** Takes off the totals of one account what was added to them before. */
+/** Subtracts from the totals of one account what was added to them before. */
 export function subtractUse(totals: UseTotals, account: string, use: AccountUse): void {
 	addUse(totals, account, {admitted: -use.admitted, refused: -use.refused});
 }
 
-/** What one group of daemons admitted and refused, merged from several tellers. */
+/** What one group of daemons admitted and refused, merged from several reporters. */
 export class MergedCounters {
 	private readonly merged: UseTotals = new Map();
-	private readonly tellers = new Map<string, Teller>();
+	private readonly reporters = new Map<string, Reporter>();
 
 	/**
-	 * Takes the totals that a teller says now.
+	 * Merges the current totals of a reporter.
 	 *
-	 * @returns What the merged totals grew by, by account.
+	 * @returns The increase of the merged totals, by account.
 	 */
-	note(tellerName: string, totals: UseTotals, nowMs: number): UseTotals {
+	note(reporterName: string, totals: UseTotals, nowMs: number): UseTotals {
 		this.prune(nowMs);
-		const teller = this.tellers.get(tellerName) ?? {heardAtMs: nowMs, first: totals, base: new Map(this.merged)};
-		teller.heardAtMs = nowMs;
-		this.tellers.set(tellerName, teller);
+		const reporter = this.reporters.get(reporterName) ?? {heardAtMs: nowMs, firstTotals: totals, mergedAtStart: new Map(this.merged)};
+		reporter.heardAtMs = nowMs;
+		this.reporters.set(reporterName, reporter);
 		const growth: UseTotals = new Map();
 		for (const [account, total] of totals) {
-			const first = teller.first.get(account) ?? none;
-			const base = teller.base.get(account) ?? none;
-			const known = this.merged.get(account) ?? none;
+			const first = reporter.firstTotals.get(account) ?? zeroUse;
+			const base = reporter.mergedAtStart.get(account) ?? zeroUse;
+			const known = this.merged.get(account) ?? zeroUse;
 			const admitted = Math.max(known.admitted, base.admitted + total.admitted - first.admitted);
 			const refused = Math.max(known.refused, base.refused + total.refused - first.refused);
 			this.merged.set(account, {admitted, refused});
@@ -63,9 +63,9 @@
 	}
 
 	private prune(nowMs: number): void {
-		for (const [name, teller] of this.tellers) {
-			if (nowMs - teller.heardAtMs > forgottenMs) {
-				this.tellers.delete(name);
+		for (const [name, reporter] of this.reporters) {
+			if (nowMs - reporter.heardAtMs > reporterExpiryMs) {
+				this.reporters.delete(name);
 			}
 		}
 	}
--- a/src/coordination/fleet/peer-census.ts
+++ b/src/coordination/fleet/peer-census.ts
@@ -1,23 +1,23 @@
 /**
- * How many other daemons share the limits of accounts, and how much of what they admit this
- * one hears. It answers daemons that start together, that are cut off and that lose their
- * relays: what is not known of them must not be taken for nothing.
+ * Counts the other daemons that share the limits of accounts, and those whose admissions this
+ * daemon does not hear. It covers daemons that start at the same time, that are cut off and that
+ * lose their relays: their admissions are unknown and must not be counted as zero.
  */
 import {type SteadyClock} from '../../clock.js';
 import {type QuotaPeers} from '../quota-ledger.js';
 import {FleetRole, type FleetTable} from './fleet-table.js';
 import {RecentMaximum} from './recent-maximum.js';
-import {goneMs} from './told-group.js';
+import {goneAfterMs} from './reported-group.js';
 
 /** Time between reports of a daemon, in milliseconds. */
 export const roundMs = 250;
-/** How long news take to reach a daemon, in milliseconds, beside half a round: read at once from a peer, or passed on by two relays that each wait for a round, half of one on average. */
-const newsMs: Record<FleetRole, number> = {[FleetRole.Mesh]: 50, [FleetRole.Relay]: 200, [FleetRole.Leaf]: 300};
-/** A daemon that has just started takes those on the list that it has not heard yet to serve beside it for this long, in milliseconds: all hear of each other within a second. Later they count as silent, and then as gone. */
-const unheardOfMs = 3000;
+/** Propagation time of an update to a daemon of each role, in milliseconds, in addition to half a round: directly from a peer, or through up to two relays, each of which adds half a round on average. */
+const propagationMs: Record<FleetRole, number> = {[FleetRole.Mesh]: 50, [FleetRole.Relay]: 200, [FleetRole.Leaf]: 300};
+/** How long after its start a daemon assumes that the listed daemons that it has not heard yet are starting as well, in milliseconds: all daemons hear of each other within a second. After that they count as silent, and later as gone. */
+const startupMs = 3000;
 
-/** The parts a census is made from. */
-export type CensusParts = {
+/** The dependencies of a peer counter. */
+export type PeerCounterParts = {
 	fleet: FleetTable;
 	clock: SteadyClock;
 	startedAtMs: number;
@@ -25,43 +25,44 @@
 	quotaWindowMs: number;
 };
 
-/** Counts the other daemons for the limits. */
-export class PeerCensus {
-	/** Daemons that were known of late: at the start, and later in a large fleet. */
-	private readonly fleetSize = new RecentMaximum(goneMs);
-	/** When most of the other daemons were last silent. */
-	private aloneAtMs = Number.NEGATIVE_INFINITY;
+/** Counts the other daemons for the sharing of limits. */
+export class PeerCounter {
+	/** Largest number of known daemons in recent time; tracked during start-up, and in a large fleet also later. */
+	private readonly recentFleetSize = new RecentMaximum(goneAfterMs);
+	/** When more than half of the daemons were last silent. */
+	private isolatedAtMs = Number.NEGATIVE_INFINITY;
 
-	constructor(private readonly parts: CensusParts) {}
+	constructor(private readonly parts: PeerCounterParts) {}
 
-	/** What limits over all daemons are decided from. */
+	/** Returns the counts of daemons by which limits are shared. */
 	count(nowMs: number): QuotaPeers {
 		const {fleet, startedAtMs} = this.parts;
 		const daemons = fleet.daemons(nowMs);
-		const isYoung = nowMs - startedAtMs < unheardOfMs;
-		const listed = isYoung ? Math.max(daemons, fleet.known) : daemons;
-		// Daemons on the list that one which starts never hears may be cut off and serving; so may those that a relay which has just begun does not know.
-		const isKept = isYoung || fleet.roleAt(nowMs) !== FleetRole.Mesh;
-		const most = Math.max(listed, this.fleetSize.note(isKept ? listed : 0, nowMs));
-		const unheard = listed - daemons;
-		// Where most were heard, the others are cut off rather than about to be.
-		const unheardOf = unheard > daemons ? unheard : 0;
+		const isStartingUp = nowMs - startedAtMs < startupMs;
+		const knownDaemons = isStartingUp ? Math.max(daemons, fleet.known) : daemons;
+		// Listed daemons that a starting daemon never hears may be cut off but still serving, and so may daemons that a new relay does not know.
+		// The recent maximum keeps them in the count.
+		const shouldRemember = isStartingUp || fleet.roleAt(nowMs) !== FleetRole.Mesh;
+		const maxDaemons = Math.max(knownDaemons, this.recentFleetSize.note(shouldRemember ? knownDaemons : 0, nowMs));
+		const unheardDaemons = knownDaemons - daemons;
+		// If most of the daemons were heard, the others are cut off rather than still starting.
+		const unheardOf = unheardDaemons > daemons ? unheardDaemons : 0;
 		const silent = fleet.silent(nowMs);
 		return {
-			daemons: most - unheardOf,
-			silent: silent + most - daemons - unheardOf,
-			unheardMs: newsMs[fleet.roleAt(nowMs)] + (roundMs / 2),
+			daemons: maxDaemons - unheardOf,
+			silent: silent + maxDaemons - daemons - unheardOf,
+			unheardMs: propagationMs[fleet.roleAt(nowMs)] + (roundMs / 2),
 			roundMs,
 			unheardOf,
-			// Names on the list may be long gone, so only those that were heard of count here.
-			isAlone: this.isAlone(silent > daemons / 2, nowMs),
+			// Listed daemons may be long gone, so only daemons that were heard from count here.
+			isAlone: this.isIsolated(silent > daemons / 2, nowMs),
 		};
 	}
 
-	/** Relays that have just begun do not tell what was admitted while there were none, daemons that report by themselves do. */
-	private isAlone(isNow: boolean, nowMs: number): boolean {
+	/** Whether this daemon is cut off from most others, or in a large fleet was so within the window: new relays do not report what was admitted while there was no relay, whereas daemons of a full mesh report it themselves. */
+	private isIsolated(isNow: boolean, nowMs: number): boolean {
 		const {fleet, quotaWindowMs} = this.parts;
-		this.aloneAtMs = isNow ? nowMs : this.aloneAtMs;
-		return isNow || (fleet.roleAt(nowMs) !== FleetRole.Mesh && nowMs - this.aloneAtMs < quotaWindowMs);
+		this.isolatedAtMs = isNow ? nowMs : this.isolatedAtMs;
+		return isNow || (fleet.roleAt(nowMs) !== FleetRole.Mesh && nowMs - this.isolatedAtMs < quotaWindowMs);
 	}
 }
--- a/src/coordination/fleet/recent-maximum.ts
+++ b/src/coordination/fleet/recent-maximum.ts
@@ -1,24 +1,24 @@
-/** The highest of the values that were seen within a time. */
-type Seen = {atMs: number; value: number};
+/** A value and when it was recorded. */
+type Sample = {atMs: number; value: number};
 
-/** Remembers the highest value of late. */
+/** Tracks the maximum of the values within a sliding window. */
 export class RecentMaximum {
-	/** Values that no later one exceeds, in the order of time. */
-	private readonly seen: Seen[] = [];
+	/** The values that are higher than all later ones, in order of time. */
+	private readonly samples: Sample[] = [];
 
-	constructor(private readonly withinMs: number) {}
+	constructor(private readonly windowMs: number) {}
 
-	/** Takes a value, and returns the highest of late, this one included. */
+	/** Records a value, and returns the maximum of the window including it. */
 	note(value: number, nowMs: number): number {
-		while (this.seen.length > 0 && this.seen.at(-1)!.value <= value) {
-			this.seen.pop();
+		while (this.samples.length > 0 && this.samples.at(-1)!.value <= value) {
+			this.samples.pop();
 		}
 
-		this.seen.push({atMs: nowMs, value});
-		while (nowMs - this.seen[0].atMs > this.withinMs) {
-			this.seen.shift();
+		this.samples.push({atMs: nowMs, value});
+		while (nowMs - this.samples[0].atMs > this.windowMs) {
+			this.samples.shift();
 		}
 
-		return this.seen[0].value;
+		return this.samples[0].value;
 	}
 }
--- a/src/coordination/fleet/relay-sums.ts
+++ b/src/coordination/fleet/relay-sums.ts
@@ -1,49 +1,49 @@
 /**
- * The sums that a relay tells: over its failure domain, and over all daemons but the one
- * that asks. Dozens of daemons ask several times a second, so the sums are kept instead of
- * being made for each answer, and the asker's part is taken off: an answer costs the same in
- * a failure domain of any size.
+ * Computes the sums that a relay reports: over its failure domain, and over all daemons except
+ * the receiver of an answer. Dozens of daemons ask several times a second, so the sums are
+ * cached and the receiver's part is subtracted from them: the cost of an answer does not depend
+ * on the size of the failure domain.
  */
 import {type Digest} from '../../protocol/fleet-messages.js';
-import {packCounts, sumCounts} from './digest-sums.js';
+import {packCounts, sumPackedCounts} from './digest-codec.js';
 import {addUse, subtractUse, type UseTotals} from './merged-counters.js';
-import {type Headcount, type Part, sumHeadcounts} from './told-group.js';
+import {type DaemonCounts, type FleetPart, sumDaemonCounts} from './reported-group.js';
 
-/** Requests in flight and headcounts are summed anew after this, in milliseconds: a fifth of a round. */
-const keptMs = 50;
+/** Age at which the sums of requests in flight and daemon counts are recomputed, in milliseconds: a fifth of a round. */
+const cacheMs = 50;
 
-/** Totals of what daemons and failure domains admitted and refused; they only grow. */
-export class CountedUse {
+/** Running totals of what daemons and failure domains admitted and refused. */
+export class UsageSums {
 	private readonly byDaemon = new Map<string, UseTotals>();
 	private readonly domain: UseTotals = new Map();
 	private readonly otherDomains: UseTotals = new Map();
 
-	/** Counts what a daemon was found to have used. */
+	/** Adds an increase in a daemon's totals. */
 	addDaemon(name: string, isOwnDomain: boolean, growth: UseTotals): void {
 		const totals = this.byDaemon.get(name) ?? new Map() as UseTotals;
 		this.byDaemon.set(name, totals);
-		addAll(totals, growth);
+		addTotals(totals, growth);
 		if (isOwnDomain) {
-			addAll(this.domain, growth);
+			addTotals(this.domain, growth);
 		}
 	}
 
-	/** Counts what another failure domain was found to have used. */
+	/** Adds an increase in the totals of another failure domain. */
 	addDomain(growth: UseTotals): void {
-		addAll(this.otherDomains, growth);
+		addTotals(this.otherDomains, growth);
 	}
 
-	/** Totals of this failure domain, with the relay's own added. */
+	/** Returns the totals of this failure domain, including the relay's own. */
 	domainTotals(own: UseTotals): UseTotals {
 		const totals = new Map(this.domain);
-		addAll(totals, own);
+		addTotals(totals, own);
 		return totals;
 	}
 
-	/** Totals of all daemons but one of this failure domain, with the relay's own added. */
+	/** Returns the totals of all daemons except the receiver, a daemon of this failure domain; the relay's own are included. */
 	restTotals(own: UseTotals, receiver: string): UseTotals {
 		const totals = this.domainTotals(own);
-		addAll(totals, this.otherDomains);
+		addTotals(totals, this.otherDomains);
 		for (const [account, use] of this.byDaemon.get(receiver) ?? []) {
 			subtractUse(totals, account, use);
 		}
@@ -52,75 +52,75 @@
 	}
 }
 
-/** What a daemon of this failure domain contributes to the sums. */
-export type Contribution = Headcount & {inFlight: number[]};
+/** What one or more daemons contribute to the sums. */
+export type DaemonLoad = DaemonCounts & {inFlight: number[]};
 
-/** Headcounts and requests in flight, as they were when the sums were made. */
+/** Daemon counts and requests in flight at the time of the summation. */
 type LoadSums = {
 	atMs: number;
-	byDaemon: ReadonlyMap<string, Contribution>;
-	domain: Contribution;
-	rest: Contribution;
+	byDaemon: ReadonlyMap<string, DaemonLoad>;
+	domain: DaemonLoad;
+	rest: DaemonLoad;
 };
 
-/** What a digest says of headcounts and requests in flight. */
+/** The daemon counts and requests in flight of a digest. */
 export type LoadDigest = Pick<Digest, 'daemons' | 'silent' | 'inFlight'>;
 
-/** Keeps the sums of headcounts and requests in flight for a moment. */
-export class KeptLoad {
-	private kept: LoadSums | undefined;
+/** Caches the sums of daemon counts and requests in flight for {@link cacheMs}. */
+export class LoadCache {
+	private cached: LoadSums | undefined;
 
-	/** Sums over this failure domain, the relay itself included. */
+	/** Returns the sums over this failure domain, including the relay itself. */
 	domain(own: Digest, sources: LoadSources, nowMs: number): LoadDigest {
-		return join(own, this.sums(sources, nowMs).domain, undefined);
+		return combineLoads(own, this.sums(sources, nowMs).domain, undefined);
 	}
 
-	/** Sums over all daemons but one of this failure domain, the relay itself included. */
+	/** Returns the sums over all daemons except the receiver, a daemon of this failure domain; the relay itself is included. */
 	rest(own: Digest, receiver: string, sources: LoadSources, nowMs: number): LoadDigest {
 		const sums = this.sums(sources, nowMs);
-		return join(own, sums.rest, sums.byDaemon.get(receiver));
+		return combineLoads(own, sums.rest, sums.byDaemon.get(receiver));
 	}
 
 	private sums(sources: LoadSources, nowMs: number): LoadSums {
-		if (!this.kept || nowMs - this.kept.atMs >= keptMs) {
+		if (!this.cached || nowMs - this.cached.atMs >= cacheMs) {
 			const byDaemon = sources.daemons();
-			const domain = sum([...byDaemon.values()]);
+			const domain = sumLoads([...byDaemon.values()]);
 			const others = sources.otherDomains().map(part => ({...part.count(), inFlight: part.inFlight().flat()}));
-			this.kept = {
-				atMs: nowMs, byDaemon, domain, rest: sum([domain, ...others]),
+			this.cached = {
+				atMs: nowMs, byDaemon, domain, rest: sumLoads([domain, ...others]),
 			};
 		}
 
-		return this.kept;
+		return this.cached;
 	}
 }
 
-/** Where the sums come from. */
+/** The inputs of the sums. */
 export type LoadSources = {
-	/** The daemons of this failure domain but the relay, by name. */
-	daemons: () => ReadonlyMap<string, Contribution>;
-	otherDomains: () => Part[];
+	/** The daemons of this failure domain except the relay, by name. */
+	daemons: () => ReadonlyMap<string, DaemonLoad>;
+	otherDomains: () => FleetPart[];
 };
 
-function sum(contributions: Contribution[]): Contribution {
-	return {...sumHeadcounts(contributions), inFlight: packCounts(sumCounts(contributions.map(({inFlight}) => inFlight)))};
+function sumLoads(contributions: DaemonLoad[]): DaemonLoad {
+	return {...sumDaemonCounts(contributions), inFlight: packCounts(sumPackedCounts(contributions.map(({inFlight}) => inFlight)))};
 }
 
-/** Adds the relay's own load to sums, and takes one daemon's part off. */
-function join(own: Digest, sums: Contribution, without: Contribution | undefined): LoadDigest {
-	const counts = sumCounts([own.inFlight, sums.inFlight]);
-	for (const [key, count] of sumCounts(without ? [without.inFlight] : [])) {
+/** Adds the relay's own load to sums, and subtracts the part of one daemon. */
+function combineLoads(own: Digest, sums: DaemonLoad, excluded: DaemonLoad | undefined): LoadDigest {
+	const counts = sumPackedCounts([own.inFlight, sums.inFlight]);
+	for (const [key, count] of sumPackedCounts(excluded ? [excluded.inFlight] : [])) {
 		counts.set(key, (counts.get(key) ?? 0) - count);
 	}
 
 	return {
-		daemons: own.daemons + sums.daemons - (without?.daemons ?? 0),
-		silent: sums.silent - (without?.silent ?? 0),
+		daemons: own.daemons + sums.daemons - (excluded?.daemons ?? 0),
+		silent: sums.silent - (excluded?.silent ?? 0),
 		inFlight: packCounts(new Map([...counts].filter(([, count]) => count > 0))),
 	};
 }
 
-function addAll(totals: UseTotals, growth: UseTotals): void {
+function addTotals(totals: UseTotals, growth: UseTotals): void {
 	for (const [account, use] of growth) {
 		addUse(totals, account, use);
 	}
--- a/src/protocol/fleet-messages.ts
+++ b/src/protocol/fleet-messages.ts
@@ -150,21 +150,21 @@
 	}
 
 	return kind === FleetMessageKind.Report || kind === FleetMessageKind.View
-		|| (kind === FleetMessageKind.Suspects && isSuspectNews(suspects)) || (kind === FleetMessageKind.Limits && isLimitNews(limits));
+		|| (kind === FleetMessageKind.Suspects && isSuspectNews(suspects)) || (kind === FleetMessageKind.Limits && isLimitUpdates(limits));
 }
 
-function isLimitNews(value: unknown): value is LimitNews[] {
+function isLimitUpdates(value: unknown): value is LimitNews[] {
 	return Array.isArray(value) && (value as Array<Partial<LimitNews> | undefined>).every(news => Number.isSafeInteger(news?.backend)
-		&& isAmount(news!.ageMs) && (news!.perSecond === undefined || isAmount(news!.perSecond)));
+		&& isNonNegative(news!.ageMs) && (news!.perSecond === undefined || isNonNegative(news!.perSecond)));
 }
 
 /** Whether something is a list of what is known of suspected requests. */
 export function isSuspectNews(value: unknown): value is SuspectNews[] {
 	return Array.isArray(value) && (value as Array<Partial<SuspectNews> | undefined>).every(news => Number.isSafeInteger(news?.fingerprint)
-		&& Array.isArray(news!.crashes) && news!.crashes.every(([backend, ageMs]) => Number.isSafeInteger(backend) && isAmount(ageMs))
-		&& (news!.clearedAgeMs === undefined || isAmount(news!.clearedAgeMs)));
+		&& Array.isArray(news!.crashes) && news!.crashes.every(([backend, ageMs]) => Number.isSafeInteger(backend) && isNonNegative(ageMs))
+		&& (news!.clearedAgeMs === undefined || isNonNegative(news!.clearedAgeMs)));
 }
 
-function isAmount(value: unknown): boolean {
+function isNonNegative(value: unknown): boolean {
 	return typeof value === 'number' && Number.isFinite(value) && value >= 0;
 }
