--- a/src/coordination/fleet/__fixtures__/test-net.ts
+++ b/src/coordination/fleet/__fixtures__/test-net.ts
@@ -131,9 +131,9 @@
 
 	/** Replaces a daemon by a new one with the same name and address. */
 	restart(daemon: TestDaemon): TestDaemon {
-		const fresh = new TestDaemon(daemon.name, daemon.failureDomain, daemon.host, this);
-		this.daemons[this.daemons.indexOf(daemon)] = fresh;
-		return fresh;
+		const replacement = new TestDaemon(daemon.name, daemon.failureDomain, daemon.host, this);
+		this.daemons[this.daemons.indexOf(daemon)] = replacement;
+		return replacement;
 	}
 
 	send(bytes: Uint8Array, from: TestDaemon, to: PeerAddress): void {
--- a/src/coordination/fleet/__tests__/relay-selection.test.ts
+++ b/src/coordination/fleet/__tests__/relay-selection.test.ts
@@ -6,7 +6,7 @@
 function createSelection(): RelaySelection {
 	const selection = new RelaySelection('c');
 	for (const name of ['d', 'b', 'a', 'c']) {
-		selection.learn(name, address);
+		selection.addAddress(name, address);
 	}
 
 	return selection;
--- a/src/coordination/fleet/fleet-table.ts
+++ b/src/coordination/fleet/fleet-table.ts
@@ -75,7 +75,7 @@
 
 	/** Records the address of a daemon that the platform's store or another daemon named. */
 	learn(name: string, failureDomain: string, address: PeerAddress): void {
-		this.relaySelection(failureDomain).learn(name, address);
+		this.relaySelection(failureDomain).addAddress(name, address);
 	}
 
 	/** Records that a daemon was asked for a view. */
@@ -86,7 +86,7 @@
 	/**
 	 * Records a report.
 	 *
-	 * @returns The increase in admitted and refused cost units since the last report of the daemons it covers, by account.
+	 * @returns The increase in the admitted and refused cost units of the daemons that it covers since their last report, by account.
 	 */
 	noteReport(report: Report, nowMs: number): UseTotals {
 		const {sender, digest} = report;
@@ -101,7 +101,7 @@
 		const {sender, digest, relays} = view;
 		this.noteSender(sender);
 		for (const {name, address} of relays) {
-			this.relaySelection(sender.failureDomain).learn(name, address);
+			this.relaySelection(sender.failureDomain).addAddress(name, address);
 		}
 
 		let growth = new Map<string, AccountUse>();
@@ -171,7 +171,7 @@
 		return this.daemonCounts(nowMs).silent;
 	}
 
-	/** Whether at least half of the other daemons that were not long ago heard from still report; true if there are none. */
+	/** Whether at most half of the other daemons are silent; true if there are no others. */
 	hearsMost(nowMs: number): boolean {
 		const {daemons, silent} = this.daemonCounts(nowMs);
 		return daemons - silent >= silent;
@@ -307,7 +307,7 @@
 		return this.relays(this.local.failureDomain, nowMs).some(({name}) => name === this.local.name) ? FleetRole.Relay : FleetRole.Leaf;
 	}
 
-	/** Size of the fleet by the sums that relays send, including this daemon: the larger of what a relay of this failure domain reports and what the relays of the other ones report together. Only large fleets have relays. */
+	/** Size of the fleet, including this daemon, by the sums that relays send: those of all other daemons from a relay of this failure domain, or those of the other failure domains from their relays, whichever is larger. Only large fleets have relays. */
 	private reportedDaemons(nowMs: number): number {
 		let inDomains = 0;
 		for (const group of this.domainGroups.values()) {
--- a/src/coordination/fleet/relay-selection.ts
+++ b/src/coordination/fleet/relay-selection.ts
@@ -25,7 +25,7 @@
 export class RelaySelection {
 	private readonly candidates = new Map<string, Candidate>();
 	/** Sorted by name; the order is kept because it is needed for every message. */
-	private candidatesByName: Candidate[] = [];
+	private sortedCandidates: Candidate[] = [];
 
 	/** @param localName This daemon's name if the failure domain is its own. */
 	constructor(private readonly localName: string | undefined) {}
@@ -36,7 +36,7 @@
 	}
 
 	/** Records the address at which a daemon receives datagrams. */
-	learn(name: string, address: PeerAddress): void {
+	addAddress(name: string, address: PeerAddress): void {
 		const known = this.candidates.get(name);
 		if (known) {
 			known.address = address;
@@ -44,13 +44,13 @@
 			this.candidates.set(name, {
 				name, address, askedAtMs: undefined, probedAtMs: Number.NEGATIVE_INFINITY, isStopping: false,
 			});
-			this.candidatesByName = [...this.candidates.values()].toSorted((a, b) => a.name < b.name ? -1 : 1);
+			this.sortedCandidates = [...this.candidates.values()].toSorted((a, b) => a.name < b.name ? -1 : 1);
 		}
 	}
 
 	/** Records that a message of a daemon arrived. */
 	noteHeard(name: string, address: PeerAddress, isStopping: boolean): void {
-		this.learn(name, address);
+		this.addAddress(name, address);
 		const candidate = this.candidates.get(name)!;
 		candidate.askedAtMs = undefined;
 		candidate.isStopping = isStopping;
@@ -67,7 +67,7 @@
 	/** The relays, the one to ask in each round first; this daemon may be among them. */
 	relays(nowMs: number): NamedAddress[] {
 		const relays: NamedAddress[] = [];
-		for (const candidate of this.candidatesByName) {
+		for (const candidate of this.sortedCandidates) {
 			if (candidate.name === this.localName || isResponsive(candidate, nowMs)) {
 				relays.push({name: candidate.name, address: candidate.address});
 			}
@@ -84,7 +84,7 @@
 	probes(nowMs: number): NamedAddress[] {
 		const last = this.relays(nowMs).at(-1)?.name;
 		const due: NamedAddress[] = [];
-		for (const candidate of this.candidatesByName) {
+		for (const candidate of this.sortedCandidates) {
 			if (candidate.name === last) {
 				break;
 			}
--- a/src/protocol/fleet-messages.ts
+++ b/src/protocol/fleet-messages.ts
@@ -155,15 +155,15 @@
 }
 
 function isLimitUpdates(value: unknown): value is LimitNews[] {
-	return Array.isArray(value) && (value as Array<Partial<LimitNews> | undefined>).every(news => Number.isSafeInteger(news?.backend)
-		&& isNonNegative(news!.ageMs) && (news!.perSecond === undefined || isNonNegative(news!.perSecond)));
+	return Array.isArray(value) && (value as Array<Partial<LimitNews> | undefined>).every(update => Number.isSafeInteger(update?.backend)
+		&& isNonNegative(update!.ageMs) && (update!.perSecond === undefined || isNonNegative(update!.perSecond)));
 }
 
 /** Whether a value is a list of the states of suspected requests. */
 export function isSuspectNews(value: unknown): value is SuspectNews[] {
-	return Array.isArray(value) && (value as Array<Partial<SuspectNews> | undefined>).every(news => Number.isSafeInteger(news?.fingerprint)
-		&& Array.isArray(news!.crashes) && news!.crashes.every(([backend, ageMs]) => Number.isSafeInteger(backend) && isNonNegative(ageMs))
-		&& (news!.clearedAgeMs === undefined || isNonNegative(news!.clearedAgeMs)));
+	return Array.isArray(value) && (value as Array<Partial<SuspectNews> | undefined>).every(update => Number.isSafeInteger(update?.fingerprint)
+		&& Array.isArray(update!.crashes) && update!.crashes.every(([backend, ageMs]) => Number.isSafeInteger(backend) && isNonNegative(ageMs))
+		&& (update!.clearedAgeMs === undefined || isNonNegative(update!.clearedAgeMs)));
 }
 
 function isNonNegative(value: unknown): boolean {
