--- a/src/coordination/fleet/fleet-table.ts
+++ b/src/coordination/fleet/fleet-table.ts
@@ -299,7 +299,9 @@
 		this.smallSinceMs = daemons <= meshReturnMaxDaemons ? this.smallSinceMs ?? nowMs : undefined;
 		// In a large fleet, no daemon reports to one that does not ask, so a restarted daemon hears nobody at first.
 		// It must go by what relays report: a duty holder that assumed a full mesh released three quarters of the pool.
-		const isSmall = this.role === FleetRole.Mesh ? daemons <= meshMaxDaemons && this.reportedDaemons(nowMs) <= meshReturnMaxDaemons : this.smallSinceMs !== undefined && nowMs - this.smallSinceMs >= meshReturnDelayMs;
+		const isSmall = this.role === FleetRole.Mesh
+			? daemons <= meshMaxDaemons && this.reportedDaemons(nowMs) <= meshReturnMaxDaemons
+			: this.smallSinceMs !== undefined && nowMs - this.smallSinceMs >= meshReturnDelayMs;
 		if (isSmall) {
 			return FleetRole.Mesh;
 		}
