--- a/src/coordination/__tests__/placement.test.ts
+++ b/src/coordination/__tests__/placement.test.ts
@@ -14,64 +14,64 @@
 });
 
 describe('Placement', () => {
-	it('daemons that know nothing of each other choose the same engine for a shared part', () => {
+	it('makes daemons without any reports choose the same engine for a shared prompt part', () => {
 		const choices = new Set(Array.from({length: 5}, () => new Placement('fd-a').choose(query())!.backend.id));
 		expect(choices.size).toBe(1);
 	});
 
-	it('goes where the prompt is cached', () => {
+	it('chooses the engine that has the prompt cached', () => {
 		const placement = new Placement('fd-a');
-		const home = placement.choose(query())!.backend.id;
-		const other = candidates.find(({id}) => id !== home)!.id;
+		const preferred = placement.choose(query())!.backend.id;
+		const other = candidates.find(({id}) => id !== preferred)!.id;
 		placement.begin(other, 6000, parts, 900).end();
 		expect(placement.choose(query({candidates: [backend(other), backend('z')]}))!.backend.id).toBe(other);
 	});
 
-	it('sends a request that may crash an engine to where the fewest others would break off', () => {
+	it('sends a request that may crash its engine to the engine with the fewest requests in flight', () => {
 		const placement = new Placement('fd-a');
-		const home = placement.choose(query())!.backend.id;
-		const quietest = candidates.find(({id}) => id !== home)!.id;
-		const peersInFlight = (id: string) => id === quietest ? 1 : 5;
-		expect(placement.choose(query({peersInFlight}))!.backend.id).toBe(home);
-		expect(placement.choose(query({peersInFlight, isSuspect: true}))!.backend.id).toBe(quietest);
+		const preferred = placement.choose(query())!.backend.id;
+		const leastLoaded = candidates.find(({id}) => id !== preferred)!.id;
+		const peersInFlight = (id: string) => id === leastLoaded ? 1 : 5;
+		expect(placement.choose(query({peersInFlight}))!.backend.id).toBe(preferred);
+		expect(placement.choose(query({peersInFlight, isSuspect: true}))!.backend.id).toBe(leastLoaded);
 	});
 
 	it.each([
-		{name: 'what this daemon has in flight', load: (placement: Placement, home: string): unknown => Array.from({length: 40}, () => placement.begin(home, 100, [], 1000)), peers: 0},
-		{name: 'what peers have in flight', load: (): unknown => undefined, peers: 60},
+		{name: 'its requests from this daemon', load: (placement: Placement, preferred: string): unknown => Array.from({length: 40}, () => placement.begin(preferred, 100, [], 1000)), peers: 0},
+		{name: 'its requests from peers', load: (): unknown => undefined, peers: 60},
 		{
-			name: 'recent failures', load(placement: Placement, home: string): unknown {
-				placement.noteFailure(home, 900);
+			name: 'its recent failures', load(placement: Placement, preferred: string): unknown {
+				placement.noteFailure(preferred, 900);
 				return undefined;
 			}, peers: 0,
 		},
-	])('leaves a cached engine for $name', ({load, peers}) => {
+	])('avoids an engine that has the prompt cached because of $name', ({load, peers}) => {
 		const placement = new Placement('fd-a');
-		const home = placement.choose(query())!.backend.id;
-		load(placement, home);
-		expect(placement.choose(query({peersInFlight: id => id === home ? peers : 0}))!.backend.id).not.toBe(home);
+		const preferred = placement.choose(query())!.backend.id;
+		load(placement, preferred);
+		expect(placement.choose(query({peersInFlight: id => id === preferred ? peers : 0}))!.backend.id).not.toBe(preferred);
 	});
 
-	it('every engine has the common part, and daemons still agree on the home of the next one', () => {
-		const home = new Placement('fd-a').choose(query())!.backend.id;
+	it('prefers the same engine for the next shared part when every engine has the first one cached', () => {
+		const preferred = new Placement('fd-a').choose(query())!.backend.id;
 		const placement = new Placement('fd-a');
 		for (const {id} of candidates) {
 			placement.begin(id, 600, [parts[0]], 900).end();
 		}
 
-		expect(placement.choose(query())!.backend.id).toBe(home);
+		expect(placement.choose(query())!.backend.id).toBe(preferred);
 	});
 
-	it('names the engine to copy a cached prompt from when another one takes the request', () => {
+	it('returns the engine to copy a cached prompt from when it chooses another one', () => {
 		const placement = new Placement('fd-a');
-		const home = placement.choose(query())!.backend.id;
-		const choice = placement.choose(query({excluded: new Set([home])}))!;
-		expect(choice.backend.id).not.toBe(home);
-		expect(choice.copyFrom?.id).toBe(home);
+		const preferred = placement.choose(query())!.backend.id;
+		const choice = placement.choose(query({excluded: new Set([preferred])}))!;
+		expect(choice.backend.id).not.toBe(preferred);
+		expect(choice.copyFrom?.id).toBe(preferred);
 		expect(placement.choose(query())!.copyFrom).toBeUndefined();
 	});
 
-	it('a burst of equal requests spreads over all engines', () => {
+	it('spreads a burst of equal requests over all engines', () => {
 		const placement = new Placement('fd-a');
 		const counts = new Map<string, number>();
 		for (let index = 0; index < 200; index++) {
@@ -83,11 +83,11 @@
 		expect(Math.max(...counts.values()) - Math.min(...counts.values())).toBeLessThan(25);
 	});
 
-	it('daemons that see the same late load do not all choose the least loaded of many engines', () => {
+	it('keeps daemons that see the same late load reports from all choosing the least loaded of many engines', () => {
 		const engines = Array.from({length: 50}, (_, index) => ({...backend(`e-${index}`), slots: 16}));
 		const generator = xoroshiro128plus(3);
 		const random = () => uniformFloat64(generator);
-		// Eight in flight on each but one, and the news of what is placed now comes to nobody in time.
+		// Each engine but one has eight requests in flight, and no daemon learns in time of those placed now.
 		const peersInFlight = (id: string) => id === 'e-7' ? 2 : 8;
 		const counts = new Map<string, number>();
 		for (let index = 0; index < 120; index++) {
@@ -101,7 +101,7 @@
 		expect(Math.max(...counts.values())).toBeLessThan(24);
 	});
 
-	it('of many engines takes one that has the shared part cached', () => {
+	it('chooses one of many engines that has the shared part cached', () => {
 		const engines = Array.from({length: 50}, (_, index) => backend(`e-${index}`));
 		const placement = new Placement('fd-a');
 		placement.begin('e-33', 6000, parts, 900).end();
@@ -109,7 +109,7 @@
 		expect(placement.choose(query({candidates: engines}))!.backend.id).toBe('e-33');
 	});
 
-	it('chooses none when all are excluded', () => {
+	it('returns undefined when all are excluded', () => {
 		expect(new Placement('fd-a').choose(query({excluded: new Set(['a', 'b', 'c', 'd'])}))).toBeUndefined();
 	});
 });
--- a/src/coordination/__tests__/shared-limits.test.ts
+++ b/src/coordination/__tests__/shared-limits.test.ts
@@ -11,11 +11,11 @@
 	name: 'a', apiKeys: [], priority: undefined, ratePerSecond: 1000, burst: 1000, countsTokens: true, plainTokens: 200,
 };
 const bounds = {windowMs: 8000, tolerance: 0, slack: 0};
-const alone = {
+const noPeers = {
 	daemons: 1, silent: 0, unheardMs: 300, roundMs: 300, unheardOf: 0, isAlone: false,
 };
 
-/** Admits requests of 100 units until one is refused, and says how much was admitted. */
+/** Admits requests of 100 cost units until one is refused, and returns the cost admitted. */
 function admitAll(ledger: QuotaLedger, peers: QuotaPeers, nowMs: number): number {
 	let admitted = 0;
 	while (!ledger.admit(account, 100, peers, 0.5, nowMs)) {
@@ -36,27 +36,27 @@
 		{
 			counts: false, prompt: 1460, output: 80, expected: 1,
 		},
-	])('$prompt + $output tokens, counted: $counts', ({counts, prompt, output, expected}) => {
+	])('costs $expected for $prompt + $output tokens where the account counts tokens: $counts', ({counts, prompt, output, expected}) => {
 		expect(requestCost({...account, countsTokens: counts}, prompt, output)).toBe(expected);
 	});
 });
 
 describe('QuotaLedger', () => {
-	it('grants the rate over the window and the burst, in any window', () => {
+	it('grants the rate times the window plus the burst in any window', () => {
 		const ledger = new QuotaLedger(bounds, 0, true);
-		expect(admitAll(ledger, alone, 0)).toBe(9000);
-		expect(admitAll(ledger, alone, 4000)).toBe(0);
-		expect(admitAll(ledger, alone, 8500)).toBe(9000);
+		expect(admitAll(ledger, noPeers, 0)).toBe(9000);
+		expect(admitAll(ledger, noPeers, 4000)).toBe(0);
+		expect(admitAll(ledger, noPeers, 8500)).toBe(9000);
 	});
 
 	it.each([
 		{
-			name: 'counts what peers admitted', peers: {
+			name: 'subtracts what peers admitted', peers: {
 				daemons: 2, silent: 0, unheardMs: 0, roundMs: 0, unheardOf: 0, isAlone: false,
 			}, peerSpent: 5000, expected: 4000,
 		},
 		{
-			name: 'leaves a silent peer its share', peers: {
+			name: 'reserves the share of a silent peer', peers: {
 				daemons: 2, silent: 1, unheardMs: 0, roundMs: 0, unheardOf: 0, isAlone: false,
 			}, peerSpent: 0, expected: 4500,
 		},
@@ -66,130 +66,130 @@
 		expect(admitAll(ledger, peers, 0)).toBe(expected);
 	});
 
-	it('a daemon that starts anew adopts its peers\' sums', () => {
+	it('takes over the profiles of a peer after a restart', () => {
 		const ledger = new QuotaLedger(bounds, 0, false);
 		ledger.adopt({a: [7000]}, 0);
-		expect(admitAll(ledger, alone, 0)).toBe(2000);
+		expect(admitAll(ledger, noPeers, 0)).toBe(2000);
 	});
 
 	it.each([
-		{name: 'the store\'s word while it hears nobody', hears: undefined, expected: 0},
-		{name: 'a peer\'s word in its place', hears: [5000], expected: 4000},
-		{name: 'the word of a peer that started from the store as well', hears: [9000], expected: 0},
-	])('a daemon that starts anew goes by $name', ({hears, expected}) => {
+		{name: 'the stored bounds while it hears from no peer', peerProfile: undefined, expected: 0},
+		{name: 'the profile of a peer instead of the stored bounds', peerProfile: [5000], expected: 4000},
+		{name: 'the profile of a peer that started from the stored bounds as well', peerProfile: [9000], expected: 0},
+	])('starts after a restart from $name', ({peerProfile, expected}) => {
 		const ledger = new QuotaLedger(bounds, 0, false);
 		ledger.adoptWritten({a: {uses: [4000, 3000], ahead: 2000}}, 0);
-		if (hears) {
-			ledger.adopt({a: hears}, 100);
+		if (peerProfile) {
+			ledger.adopt({a: peerProfile}, 100);
 		}
 
-		expect(admitAll(ledger, alone, 200)).toBe(expected);
+		expect(admitAll(ledger, noPeers, 200)).toBe(expected);
 	});
 
-	it('what a daemon that starts anew adopts leaves the window by and by', () => {
+	it('drops the history taken over after a restart from the window part by part', () => {
 		const ledger = new QuotaLedger(bounds, 0, false);
 		ledger.adoptWritten({a: {uses: [1000, 1000, 1000, 1000, 1000, 1000, 1000, 2000], ahead: 0}}, 0);
-		expect([0, 2000, 6000].map(nowMs => admitAll(ledger, alone, nowMs))).toEqual([0, 3000, 4000]);
+		expect([0, 2000, 6000].map(nowMs => admitAll(ledger, noPeers, nowMs))).toEqual([0, 3000, 4000]);
 	});
 
-	it('a daemon that starts anew and hears nobody grants less than a window\'s limit in its first window', () => {
+	it('grants less than the limit in the first window after a restart without any history', () => {
 		const ledger = new QuotaLedger(bounds, 0, false);
 		let admitted = 0;
 		for (let nowMs = 0; nowMs <= 8000; nowMs += 500) {
-			admitted += admitAll(ledger, alone, nowMs);
+			admitted += admitAll(ledger, noPeers, nowMs);
 		}
 
 		expect(admitted).toBeLessThanOrEqual(4500);
 	});
 
-	it('does not hold against an account what it used before its limit was lowered', () => {
+	it('does not charge an account for what it used before its limit was lowered', () => {
 		const ledger = new QuotaLedger(bounds, 0, true);
 		for (let nowMs = 0; nowMs < 8000; nowMs += 100) {
-			ledger.admit(account, 90, alone, 0, nowMs);
+			ledger.admit(account, 90, noPeers, 0, nowMs);
 		}
 
 		const lowered = {...account, ratePerSecond: 250, burst: 0};
-		expect(ledger.admit(lowered, 90, alone, 0, 8000)).toBeUndefined();
+		expect(ledger.admit(lowered, 90, noPeers, 0, 8000)).toBeUndefined();
 		let admitted = 0;
 		for (let nowMs = 8100; nowMs < 24_000; nowMs += 100) {
-			admitted += nowMs >= 16_000 && !ledger.admit(lowered, 90, alone, 0, nowMs) ? 90 : 0;
+			admitted += nowMs >= 16_000 && !ledger.admit(lowered, 90, noPeers, 0, nowMs) ? 90 : 0;
 		}
 
 		expect(admitted).toBeLessThanOrEqual(2000);
 	});
 
-	it('counts a lowered limit from when it came into force, whenever the account asks next', () => {
+	it('applies a lowered limit from when it came into force, even if the account sends its next request later', () => {
 		const ledger = new QuotaLedger(bounds, 0, true);
 		ledger.noteLimits([account], 0);
-		ledger.admit(account, 90, alone, 0, 0);
+		ledger.admit(account, 90, noPeers, 0, 0);
 		const lowered = {...account, ratePerSecond: 250, burst: 0};
 		ledger.noteLimits([lowered], 1000);
 		let admitted = 0;
-		while (!ledger.admit(lowered, 100, alone, 0, 20_000)) {
+		while (!ledger.admit(lowered, 100, noPeers, 0, 20_000)) {
 			admitted += 100;
 		}
 
 		expect(admitted).toBe(2000);
 	});
 
-	it('gives back what was not run', () => {
+	it('refunds the cost of a request that was not run', () => {
 		const ledger = new QuotaLedger(bounds, 0, true);
-		admitAll(ledger, alone, 0);
+		admitAll(ledger, noPeers, 0);
 		ledger.refund(account, 100, 0);
-		expect(admitAll(ledger, alone, 0)).toBe(100);
+		expect(admitAll(ledger, noPeers, 0)).toBe(100);
 	});
 });
 
-/** One play of an account that offers more or less than its limit. */
-type Play = {
+/** A simulation of an account that requests more or less than its limit. */
+type Simulation = {
 	daemons: number;
 	offeredPerSecond: number;
-	/** Offered before that for ten seconds. */
+	/** Rate offered in the ten seconds before that. */
 	beforePerSecond?: number;
-	/** Time between messages. */
+	/** Interval of the daemons' reports, in milliseconds. */
 	roundMs?: number;
-	/** Time that a message's figures take until all have them. */
-	newsMs?: number;
+	/** Delay until all daemons have a report, in milliseconds. */
+	reportDelayMs?: number;
 	seed?: number;
 };
 
-const hot = {...account, ratePerSecond: 208_854, burst: 208_854};
+const hotAccount = {...account, ratePerSecond: 208_854, burst: 208_854};
 const hotBounds = {windowMs: 8000, tolerance: 0.1, slack: 140_000};
 const hotCost = 9000;
 
-/** Plays an account through several daemons that tell each other what they admitted, and returns the most that was admitted in any window and all that was. */
-function playHotAccount(play: Play): {most: number; total: number; offered: number} {
-	const {daemons, offeredPerSecond, beforePerSecond = 0, roundMs = 300, newsMs = 0, seed = 1} = play;
+/** Sends an account's requests through several daemons that report to each other what they admitted, and returns the most that was admitted in any window, the total admitted and the total offered. */
+function simulateHotAccount(simulation: Simulation): {most: number; total: number; offered: number} {
+	const {daemons, offeredPerSecond, beforePerSecond = 0, roundMs = 300, reportDelayMs = 0, seed = 1} = simulation;
 	const generator = xoroshiro128plus(seed);
 	const random = () => uniformFloat64(generator);
 	const ledgers = Array.from({length: daemons}, () => new QuotaLedger(hotBounds, 0, true));
-	const said = ledgers.map(() => ({admitted: 0, refused: 0}));
-	const news: Array<{atMs: number; from: QuotaLedger; use: AccountUse}> = [];
+	const reported = ledgers.map(() => ({admitted: 0, refused: 0}));
+	const reports: Array<{atMs: number; from: QuotaLedger; use: AccountUse}> = [];
 	const admitted: number[] = [];
 	const peers = {
-		daemons, silent: 0, unheardMs: newsMs + (roundMs / 2), roundMs, unheardOf: 0, isAlone: false,
+		daemons, silent: 0, unheardMs: reportDelayMs + (roundMs / 2), roundMs, unheardOf: 0, isAlone: false,
 	};
 	let due = 0;
 	let offered = 0;
 	for (let atMs = 0; atMs < 24_000; atMs += 5) {
 		for (due += (atMs < 10_000 ? beforePerSecond : offeredPerSecond) * 0.005; due >= hotCost; due -= hotCost) {
 			offered += hotCost;
-			if (!ledgers[Math.floor(random() * daemons)].admit(hot, hotCost, peers, random(), atMs)) {
+			if (!ledgers[Math.floor(random() * daemons)].admit(hotAccount, hotCost, peers, random(), atMs)) {
 				admitted.push(atMs);
 			}
 		}
 
-		// Each daemon's rounds begin at a time of their own.
+		// The daemons report at different times.
 		for (const [index, ledger] of ledgers.entries()) {
 			if ((atMs + (index * 35)) % roundMs < 5) {
 				const use = ledger.own().get('a') ?? {admitted: 0, refused: 0};
-				news.push({atMs: atMs + newsMs, from: ledger, use: {admitted: use.admitted - said[index].admitted, refused: use.refused - said[index].refused}});
-				said[index] = use;
+				reports.push({atMs: atMs + reportDelayMs, from: ledger, use: {admitted: use.admitted - reported[index].admitted, refused: use.refused - reported[index].refused}});
+				reported[index] = use;
 			}
 		}
 
-		while (news.length > 0 && news[0].atMs <= atMs) {
-			const {from, use} = news.shift()!;
+		while (reports.length > 0 && reports[0].atMs <= atMs) {
+			const {from, use} = reports.shift()!;
 			for (const other of ledgers.filter(peer => peer !== from)) {
 				other.notePeers('a', use, atMs);
 			}
@@ -200,37 +200,37 @@
 	return {most, total: admitted.length * hotCost, offered};
 }
 
-describe('an account that sends eight times its usual', () => {
+describe('QuotaLedger with an account that sends many times its usual rate', () => {
 	const allowed = (((208_854 * 8) + 208_854) * 1.1) + 140_000;
 
 	it.each([
 		{name: '6 daemons', daemons: 6},
 		{name: '9 daemons', daemons: 9},
 		{
-			name: '86 daemons through relays', daemons: 86, roundMs: 250, newsMs: 300,
+			name: '86 daemons that report through relays', daemons: 86, roundMs: 250, reportDelayMs: 300,
 		},
 		{
-			name: '370 daemons through relays', daemons: 370, roundMs: 500, newsMs: 300,
+			name: '370 daemons that report through relays', daemons: 370, roundMs: 500, reportDelayMs: 300,
 		},
-	])('stays within the operators\' bound over $name, and gets most of it', ({daemons, roundMs, newsMs}) => {
-		// Where in a round of messages the limit is reached depends on the rate.
-		const plays = Array.from({length: daemons > 100 ? 2 : 8}, (_, index) => playHotAccount({
-			daemons, roundMs, newsMs, offeredPerSecond: 800_000 + (index * 120_000), beforePerSecond: index % 2 * 100_000, seed: index,
+	])('admits most of the operators\' bound and no more over $name', ({daemons, roundMs, reportDelayMs}) => {
+		// The rate decides at which point between two reports the limit is reached.
+		const admitted = Array.from({length: daemons > 100 ? 2 : 8}, (_, index) => simulateHotAccount({
+			daemons, roundMs, reportDelayMs, offeredPerSecond: 800_000 + (index * 120_000), beforePerSecond: index % 2 * 100_000, seed: index,
 		}).most);
-		expect(Math.max(...plays)).toBeLessThan(allowed * 0.98);
-		expect(Math.min(...plays)).toBeGreaterThan(allowed * 0.8);
+		expect(Math.max(...admitted)).toBeLessThan(allowed * 0.98);
+		expect(Math.min(...admitted)).toBeGreaterThan(allowed * 0.8);
 	});
 
 	it.each([
-		{name: 'over 86 daemons, whose rounds are longer', play: {daemons: 86, offeredPerSecond: 120_000, roundMs: 2150}},
+		{name: 'over 86 daemons that report less often', simulation: {daemons: 86, offeredPerSecond: 120_000, roundMs: 2150}},
 		{
-			name: 'over 86 daemons with relays', play: {
-				daemons: 86, offeredPerSecond: 190_000, roundMs: 250, newsMs: 300,
+			name: 'over 86 daemons that report through relays', simulation: {
+				daemons: 86, offeredPerSecond: 190_000, roundMs: 250, reportDelayMs: 300,
 			},
 		},
-		{name: 'when it stays within it', play: {daemons: 6, offeredPerSecond: 200_000}},
-	])('may use its whole limit $name', ({play}) => {
-		const {total, offered} = playHotAccount({...play, beforePerSecond: play.offeredPerSecond});
+		{name: 'when it requests no more than that', simulation: {daemons: 6, offeredPerSecond: 200_000}},
+	])('lets an account use its whole limit $name', ({simulation}) => {
+		const {total, offered} = simulateHotAccount({...simulation, beforePerSecond: simulation.offeredPerSecond});
 		expect(total).toBeGreaterThan(offered * 0.99);
 	});
 });
@@ -238,7 +238,7 @@
 describe('RetryAllowance', () => {
 	const bound = {ratio: 0.2, windowMs: 10_000, slack: 40};
 
-	/** Repeats granted in one window after a number of first requests, over all daemons. */
+	/** Returns the retries granted in one window after a number of requests at each daemon, over all daemons. */
 	function granted(daemons: number, requests: number): number {
 		let total = 0;
 		for (let daemon = 0; daemon < daemons; daemon++) {
@@ -255,26 +255,26 @@
 		return total;
 	}
 
-	it.each([{daemons: 1, requests: 100}, {daemons: 6, requests: 20}, {daemons: 86, requests: 5}])('$daemons daemons with $requests requests each stay within the common bound', ({daemons, requests}) => {
+	it.each([{daemons: 1, requests: 100}, {daemons: 6, requests: 20}, {daemons: 86, requests: 5}])('keeps $daemons daemons with $requests requests each within the bound', ({daemons, requests}) => {
 		const total = granted(daemons, requests);
 		expect(total).toBeLessThanOrEqual((bound.ratio * daemons * requests) + bound.slack);
 	});
 
-	it('replicas that fail every request do not multiply the load', () => {
+	it('keeps replicas that fail every request from multiplying the load', () => {
 		const allowance = new RetryAllowance(bound);
-		let repeats = 0;
+		let retries = 0;
 		for (let nowMs = 0; nowMs < 10_000; nowMs += 10) {
 			allowance.countRequest('s', nowMs);
-			repeats += allowance.take('s', RepeatPurpose.Retry, 1, nowMs) ? 1 : 0;
+			retries += allowance.take('s', RepeatPurpose.Retry, 1, nowMs) ? 1 : 0;
 		}
 
-		expect(repeats).toBeLessThanOrEqual((1000 * bound.ratio) + bound.slack);
+		expect(retries).toBeLessThanOrEqual((1000 * bound.ratio) + bound.slack);
 	});
 
 	it.each([
-		{name: 'in its window', givenBackAtMs: 5000, isFree: true},
-		{name: 'after its window, where it counts no more', givenBackAtMs: 12_000, isFree: false},
-	])('a place that was not used is free again $name', ({givenBackAtMs, isFree}) => {
+		{name: 'restores it within the window', givenBackAtMs: 5000, isFree: true},
+		{name: 'changes nothing after the window', givenBackAtMs: 12_000, isFree: false},
+	])('giving back an unused attempt $name', ({givenBackAtMs, isFree}) => {
 		const allowance = new RetryAllowance({ratio: 0, windowMs: 10_000, slack: 2});
 		expect(allowance.take('s', RepeatPurpose.Move, 1, 0)).toBe(true);
 		const isTakenAgain = givenBackAtMs > 10_000 && allowance.take('s', RepeatPurpose.Move, 1, givenBackAtMs);
@@ -285,7 +285,7 @@
 });
 
 describe('UsageLedger', () => {
-	it('sums the counts of all daemons by window, and takes a repeated message once', () => {
+	it('sums the counts of all daemons by window and ignores a repeated message', () => {
 		const ledger = new UsageLedger('fd-a', 'a#1', 5000);
 		ledger.count('x', 12_000);
 		ledger.count('x', 14_999);
@@ -299,18 +299,18 @@
 
 	it.each([
 		{
-			name: 'what relays say of a failure domain once', told: [{x: 9}, {x: 9}, {x: 8}], heard: [], expected: 9,
+			name: 'what relays report of a failure domain once', relayed: [{x: 9}, {x: 9}, {x: 8}], direct: [], expected: 9,
 		},
 		{
-			name: 'what its daemons say themselves once more only if relays lag', told: [{x: 4}], heard: [{x: 3}, {x: 3}], expected: 6,
+			name: 'what the daemons of a failure domain report themselves where the relays lag behind', relayed: [{x: 4}], direct: [{x: 3}, {x: 3}], expected: 6,
 		},
-	])('counts $name', ({told, heard, expected}) => {
+	])('counts $name', ({relayed, direct, expected}) => {
 		const ledger = new UsageLedger('fd-a', 'a#1', 5000);
-		for (const counts of told) {
+		for (const counts of relayed) {
 			ledger.noteDomain('fd-b', 2, counts);
 		}
 
-		for (const [index, counts] of heard.entries()) {
+		for (const [index, counts] of direct.entries()) {
 			ledger.note('fd-b', `b#${index}`, 2, counts);
 		}
 
--- a/src/coordination/account-window.ts
+++ b/src/coordination/account-window.ts
@@ -1,105 +1,108 @@
-/** What was admitted to one client account in the window of its limit, by age. */
+/** Tracks what was admitted to one client account within the sliding window of its limit. */
 import {CostMeter} from './cost-meter.js';
 import {LimitHistory} from './limit-history.js';
 
-/** The window is counted in this many steps. */
-const steps = 32;
-/** What daemons tell each other of a window has this many parts of equal length. */
+/** Steps that the window is counted in. */
+const windowSteps = 32;
+/** Parts of equal length in the profile of a window that daemons exchange. */
 export const profileParts = 8;
-const partSteps = steps / profileParts;
+const stepsPerPart = windowSteps / profileParts;
 
-/** What was admitted in a window, in cost units by age: an equal part of the window each, the newest first. */
+/** What was admitted in a window, in cost units for each equal part of the window, the newest first. */
 export type UseProfile = number[];
 
-/** What an account was admitted and refused, in cost units. */
+/** What was admitted to an account and what it was refused, in cost units. */
 export type AccountUse = {admitted: number; refused: number};
 
-type Use = {
+/** The cost units admitted in one step. */
+type UseEntry = {
 	step: number;
 	cost: number;
-	/** Whether it is a guess that a peer's word takes the place of. */
-	isGuess?: boolean;
+	/** Whether it is an estimate that the profile of a peer replaces. */
+	isEstimate?: boolean;
 };
 
-/** What was admitted to one account in the window. */
+/** The sliding window of one account. */
 export class AccountWindow {
-	/** Admitted and refused by this daemon since its start. */
+	/** What this daemon admitted and refused since its start. */
 	readonly own: AccountUse = {admitted: 0, refused: 0};
-	/** What was asked of this daemon of late. */
-	readonly ownAsked = new CostMeter();
-	/** What peers admitted of late. */
+	/** Rate of the cost requested from this daemon. */
+	readonly ownRequested = new CostMeter();
+	/** Rate of the cost admitted by peers. */
 	readonly peersAdmitted = new CostMeter();
-	/** What was asked of peers of late. */
-	readonly peersAsked = new CostMeter();
+	/** Rate of the cost requested from peers. */
+	readonly peersRequested = new CostMeter();
+	/** The account's limits that were in force within the window. */
 	readonly limits: LimitHistory;
-	/** In the order of their steps. */
-	private uses: Use[] = [];
-	/** The part of them that this daemon admitted. */
-	private readonly ownUses: Use[] = [];
+	/** What all daemons admitted, ordered by step. */
+	private uses: UseEntry[] = [];
+	/** What this daemon admitted, ordered by step. */
+	private readonly ownUses: UseEntry[] = [];
 
 	constructor(private readonly windowMs: number) {
 		this.limits = new LimitHistory(windowMs);
 	}
 
-	/** Counts what any daemon was admitted. */
+	/** Adds a cost that any daemon admitted. */
 	add(cost: number, nowMs: number): void {
 		addAt(this.uses, cost, this.stepAt(nowMs));
 	}
 
-	/** Counts what this daemon admitted; less than nothing for what it takes back. */
+	/** Adds a cost that this daemon admitted; negative for a refund. */
 	addOwn(cost: number, nowMs: number): void {
 		this.own.admitted += cost;
 		this.add(cost, nowMs);
 		addAt(this.ownUses, cost, this.stepAt(nowMs));
 	}
 
-	/** Takes over what another daemon knows of the window beyond what this one does, in place of what was guessed. It leaves the window by and by, as it did there. */
-	adopt(told: UseProfile, nowMs: number): void {
-		this.uses = this.uses.filter(use => !use.isGuess);
-		this.addBeyondKnown(told, false, nowMs);
+	/** Replaces estimates by what another daemon knows of the window beyond what this one does. The added cost leaves the window part by part, according to its age. */
+	adoptProfile(profile: UseProfile, nowMs: number): void {
+		this.uses = this.uses.filter(use => !use.isEstimate);
+		this.addMissing(profile, false, nowMs);
 	}
 
-	/** Guesses what was admitted, until a daemon that knows says so. */
-	guess(profile: UseProfile, nowMs: number): void {
-		this.addBeyondKnown(profile, true, nowMs);
+	/** Adds an estimate of what was admitted, until the profile of a peer replaces it. */
+	adoptEstimate(profile: UseProfile, nowMs: number): void {
+		this.addMissing(profile, true, nowMs);
 	}
 
-	/** What was admitted in the window, by age. */
+	/** Returns what all daemons admitted in the window, by age. */
 	profile(nowMs: number): UseProfile {
-		this.forget(nowMs);
+		this.dropExpired(nowMs);
 		const step = this.stepAt(nowMs);
 		const profile: UseProfile = Array.from({length: profileParts}, () => 0);
 		for (const use of this.uses) {
-			profile[Math.min(profileParts - 1, Math.floor((step - use.step) / partSteps))] += use.cost;
+			profile[Math.min(profileParts - 1, Math.floor((step - use.step) / stepsPerPart))] += use.cost;
 		}
 
 		return profile;
 	}
 
-	/** Cost units admitted in the window. */
+	/** Returns the cost units that all daemons admitted in the window. */
 	sum(nowMs: number): number {
-		this.forget(nowMs);
+		this.dropExpired(nowMs);
 		return costOf(this.uses);
 	}
 
-	/** Cost units that this daemon admitted in the window. */
+	/** Returns the cost units that this daemon admitted in the window. */
 	ownSum(nowMs: number): number {
-		this.forget(nowMs);
+		this.dropExpired(nowMs);
 		return costOf(this.ownUses);
 	}
 
-	/** Milliseconds until the oldest use leaves the window. */
-	untilFreeMs(nowMs: number): number {
+	/** Returns the time until the oldest entry leaves the window, in milliseconds. */
+	nextExpiryMs(nowMs: number): number {
 		const oldest = this.uses.at(0);
-		return oldest ? Math.max(1, ((oldest.step + steps + 1) / steps * this.windowMs) - nowMs) : 0;
+		return oldest ? Math.max(1, ((oldest.step + windowSteps + 1) / windowSteps * this.windowMs) - nowMs) : 0;
 	}
 
-	private addBeyondKnown(profile: UseProfile, isGuess: boolean, nowMs: number): void {
+	/** Adds what a profile holds beyond what is known, for each part of the window. */
+	private addMissing(profile: UseProfile, isEstimate: boolean, nowMs: number): void {
 		const known = this.profile(nowMs);
 		const step = this.stepAt(nowMs);
 		for (const [part, cost] of profile.slice(0, profileParts).entries()) {
 			if (cost > known[part]) {
-				this.uses.push({step: step - (part * partSteps) - (partSteps / 2), cost: cost - known[part], isGuess});
+				this.uses.push({step: step - (part * stepsPerPart) - (stepsPerPart / 2), cost: cost - known[part], isEstimate});
 			}
 		}
 
@@ -107,11 +110,11 @@
 	}
 
 	private stepAt(nowMs: number): number {
-		return Math.floor(nowMs / this.windowMs * steps);
+		return Math.floor(nowMs / this.windowMs * windowSteps);
 	}
 
-	private forget(nowMs: number): void {
-		const oldest = this.stepAt(nowMs) - steps;
+	private dropExpired(nowMs: number): void {
+		const oldest = this.stepAt(nowMs) - windowSteps;
 		for (const uses of [this.uses, this.ownUses]) {
 			while (uses.length > 0 && uses[0].step < oldest) {
 				uses.shift();
@@ -120,7 +123,7 @@
 	}
 }
 
-function addAt(uses: Use[], cost: number, step: number): void {
+function addAt(uses: UseEntry[], cost: number, step: number): void {
 	const last = uses.at(-1);
 	if (last?.step === step) {
 		last.cost += cost;
@@ -129,7 +132,7 @@
 	}
 }
 
-function costOf(uses: Use[]): number {
+function costOf(uses: UseEntry[]): number {
 	let sum = 0;
 	for (const use of uses) {
 		sum += use.cost;
@@ -138,7 +141,7 @@
 	return sum;
 }
 
-/** Cost units of a whole profile. */
+/** Returns the cost units of a whole profile. */
 export function sumOfProfile(profile: UseProfile): number {
 	let sum = 0;
 	for (const cost of profile) {
--- a/src/coordination/cost-meter.ts
+++ b/src/coordination/cost-meter.ts
@@ -1,20 +1,21 @@
 /**
- * Measures how fast cost units come in. It answers bursts: the rate follows a rise within
- * two rounds of news, and falls only as fast as the longer span forgets.
+ * Measures the rate at which cost units arrive. For bursts, the rate follows a rise within
+ * two rounds of reports, and falls only as the longer span passes.
  */
 
-/** Length of a step, in milliseconds: half of the shortest round of news. */
+/** Length of a step, in milliseconds: half of the shortest round of reports. */
 const stepMs = 125;
-/** The longer span, in steps: a second, over which the news of a round even out. */
-const longSteps = 8;
-/** Rounds of news in the shorter span. */
-const shortRounds = 2;
-/** Steps kept: two rounds of four seconds. */
-const keptSteps = 64;
-
+/** The longer span, in steps: a second, which evens out reports that arrive once a round. */
+const longSpanSteps = 8;
+/** The shorter span, in rounds of reports. */
+const shortSpanRounds = 2;
+/** Steps kept, enough for two rounds of four seconds. */
+const maxSteps = 64;
+
+/** The cost units that arrived in one step. */
 type Step = {step: number; cost: number};
 
-/** The cost units that came in of late. */
+/** Counts the cost units that arrived recently. */
 export class CostMeter {
 	private readonly counts: Step[] = [];
 
@@ -27,18 +28,18 @@
 		}
 
 		this.counts.push({step, cost});
-		while (this.counts[0].step <= step - keptSteps) {
+		while (this.counts[0].step <= step - maxSteps) {
 			this.counts.shift();
 		}
 	}
 
-	/** Cost units a millisecond: the higher of the rates over two rounds of news and over a second or two rounds, whichever is longer. */
-	perMs(roundMs: number, nowMs: number): number {
-		const short = Math.max(1, Math.ceil(roundMs * shortRounds / stepMs));
-		return Math.max(this.over(short, nowMs), this.over(Math.max(short, longSteps), nowMs));
+	/** Returns the rate in cost units a millisecond: the higher of the rates over two rounds of reports and over a second or two rounds, whichever is longer. */
+	ratePerMs(roundMs: number, nowMs: number): number {
+		const shortSpanSteps = Math.max(1, Math.ceil(roundMs * shortSpanRounds / stepMs));
+		return Math.max(this.rateOver(shortSpanSteps, nowMs), this.rateOver(Math.max(shortSpanSteps, longSpanSteps), nowMs));
 	}
 
-	private over(spanSteps: number, nowMs: number): number {
+	private rateOver(spanSteps: number, nowMs: number): number {
 		const newest = Math.floor(nowMs / stepMs);
 		let sum = 0;
 		for (let index = this.counts.length - 1; index >= 0 && this.counts[index].step > newest - spanSteps; index--) {
--- a/src/coordination/placement.ts
+++ b/src/coordination/placement.ts
@@ -1,235 +1,242 @@
 /**
- * Which backend server gets a request. For engines the estimate is in milliseconds of
- * delay: prompt tokens that are not cached there must be read first, what waits there is
- * read before it, and every running request makes each token slower, its own and others'.
- * For plain services it is the share of slots in use. It answers bursts that many daemons
- * place at once from late reports: each adds what it sent itself and what its peers say
- * they have in flight.
+ * Chooses the backend server for a request by estimated cost. For an engine the cost is a
+ * delay in milliseconds: prompt tokens that are not cached there must be prefilled first,
+ * after the prompts that already wait there, and every running request slows each token of
+ * all requests. For a plain service the cost grows with the share of its slots in use.
+ * Load reports arrive late while many daemons may place a burst at once, so each daemon adds
+ * what it sent itself and what its peers report to have in flight.
  */
 import {createHash} from 'node:crypto';
 import {type Backend, type PromptPart, type StatedLoad} from '../protocol/serving.js';
 
-/** Prompt tokens that an engine reads in a millisecond; from the deployments' sheets. */
+/** Prompt tokens that an engine prefills in a millisecond. */
 const prefillTokensPerMs = 50;
-/** Delay that an engine with all slots in use causes, in milliseconds: a step of 64 requests takes two and a half times one of a single one. It grows with the square of the use, since the requests there are slowed too. */
+/** Cost of an engine whose slots are all in use, in milliseconds: a decoding step with 64 requests takes two and a half times as long as with one. The cost grows with the square of the share in use, since a new request also slows those already there. */
 const fullEngineCostMs = 400;
 /** Cost of a plain service whose slots are all in use, in milliseconds. */
-const slotCostMs = 200;
-/** Delay per request beyond an engine's slots, in milliseconds. */
-const queuedCostMs = 60;
-/** Share of the cached tokens' worth given to the engine that all daemons would choose first for a prompt part, where this daemon knows of no cache. */
-const homeShare = 0.7;
-/** Added for each recent failure, in milliseconds of delay. */
+const fullServiceCostMs = 200;
+/** Delay for each request beyond a backend server's slots, in milliseconds. */
+const queuedRequestCostMs = 60;
+/** Share of a prompt's shared tokens that this daemon assumes to be cached at the engine preferred by rendezvous hashing, even if it sent none of them there itself. */
+const preferredCacheShare = 0.7;
+/** Cost added for each recent failure, in milliseconds. */
 const failureCostMs = 400;
-/** A failure is forgotten after this, in milliseconds. */
-const failureMemoryMs = 3000;
-/** A stated load counts this long, in milliseconds. */
-const statedLoadMs = 1000;
-/** A cached part is taken to be there this long after its last use, in milliseconds. */
-const cachedMs = 20_000;
-/** Cached parts remembered for each engine. */
-const rememberedParts = 2000;
-/** Delay of a start that is still cold, in milliseconds. */
-const coldCostMs = 100;
-/** Added for another failure domain than the daemon's, in milliseconds: a round trip more. */
+/** Time for which a failure adds to the cost, in milliseconds. */
+const failureMaxAgeMs = 3000;
+/** Age up to which a load reported by a backend server counts, in milliseconds. */
+const reportedLoadMaxAgeMs = 1000;
+/** Time after its last use for which a prompt part is assumed to stay cached, in milliseconds. */
+const cachedPartMaxAgeMs = 20_000;
+/** Cached prompt parts tracked for each engine. */
+const maxCachedParts = 2000;
+/** Cost added while a backend server is still cold after its start, in milliseconds. */
+const coldStartCostMs = 100;
+/** Cost added for a failure domain other than the daemon's, in milliseconds: one longer round trip. */
 const otherDomainCostMs = 3;
-/** Up to this many engines each is weighed: eight served bursts evenly so. Beyond, all daemons of a large fleet would choose the one that seemed least loaded half a second ago. */
-const weighedEngines = 12;
-/** Of more engines, those that should have the prompt cached are weighed, and this many drawn at random: from late reports, two spread the load better than all. */
-const drawnEngines = 2;
-/** Engines that all daemons choose first for a prompt part. */
-const homeEngines = 2;
-/** Prompt tokens that an engine must have cached beyond the least to be weighed for that alone: 20 ms of reading. */
-const leastCachedTokens = 1000;
-
-/** What a request asks of a placement. */
+/** Number of backend servers up to which all are compared. With more, all daemons of a large fleet would choose the one that seemed least loaded half a second ago; eight engines get an even share of a burst when all are compared. */
+const maxScoredEngines = 12;
+/** Backend servers drawn at random where there are more, to be compared beside those that should have the prompt cached: with late reports, the better of two random ones spreads the load more evenly than the best of all. */
+const sampledEngineCount = 2;
+/** Engines that all daemons prefer for the same prompt part. */
+const preferredEngineCount = 2;
+/** Prompt tokens that an engine must have cached beyond the one with the fewest to be compared for that alone: 20 ms of prefill. */
+const minCachedTokens = 1000;
+
+/** The inputs of one placement decision. */
 export type PlacementQuery = {
 	candidates: Backend[];
-	/** Backend servers that already failed this request. */
+	/** Ids of backend servers that must not get this request, such as those that already failed it. */
 	excluded: ReadonlySet<string>;
 	promptTokens: number;
 	promptParts: PromptPart[];
-	/** Whether it may crash the backend server that runs it, so that it goes where the fewest others would break off. */
+	/** Whether the request may crash the backend server that runs it. It then goes to the one with the fewest requests in flight, where a crash interrupts the fewest. */
 	isSuspect: boolean;
-	/** Requests that other daemons have in flight at a backend server. */
+	/** Returns the requests that other daemons report to have in flight at a backend server. */
 	peersInFlight: (backendId: string) => number;
-	/** Draws evenly from 0 to 1. */
+	/** Returns a uniform random number from 0 to 1. */
 	random: () => number;
 	nowMs: number;
 };
 
-/** A chosen backend server and why. */
+/** A backend server with its estimated cost for a request. */
 export type Choice = {
 	backend: Backend;
-	/** Estimated delay and what speaks against it beside, in milliseconds. */
+	/** Estimated delay plus the penalties, in milliseconds. */
 	costMs: number;
-	/** Estimated time until the first event, in milliseconds. */
+	/** Estimated time until the first event of the answer, in milliseconds. */
 	waitMs: number;
-	/** Prompt tokens taken to be cached there. */
+	/** Prompt tokens assumed to be cached there. */
 	cachedTokens: number;
+	/** Estimated requests in flight there from all daemons. */
 	inFlight: number;
-	/** Another engine that should hold more of the prompt, to copy it from. */
+	/** Another engine that should have more of the prompt cached, to copy its KV cache from. */
 	copyFrom: Backend | undefined;
 };
 
-/** Prompt tokens that another engine must hold beyond the chosen one to be copied from: a copy costs a sixth of reading them again. */
-const leastCopiedTokens = 300;
+/** Prompt tokens that another engine must have cached beyond the chosen one to be copied from: a copy costs a sixth of a new prefill. */
+const minCopiedTokens = 300;
 
-type View = {
+/** What this daemon knows of one backend server. */
+type BackendStats = {
+	/** Requests that this daemon has in flight there. */
 	inFlight: number;
-	/** Prompt tokens sent there whose first event has not come. */
+	/** Prompt tokens of requests sent there whose first event has not arrived yet. */
 	pendingTokens: number;
-	stated: StatedLoad | undefined;
-	statedAtMs: number;
+	reportedLoad: StatedLoad | undefined;
+	/** When the load report arrived. */
+	reportedAtMs: number;
+	/** Times of recent failures. */
 	failures: number[];
-	/** Time of last use, by part. */
-	cached: Map<string, number>;
+	/** Times of last use, by id of the prompt part. */
+	cachedParts: Map<string, number>;
 };
 
-/** What this daemon knows of the load and caches of backend servers. */
+/** Tracks the load and the caches of backend servers, as far as this daemon knows them, and places requests. */
 export class Placement {
-	private readonly views = new Map<string, View>();
+	private readonly statsByBackend = new Map<string, BackendStats>();
 
 	constructor(private readonly failureDomain: string) {}
 
-	/** Chooses a backend server, or none when every candidate is excluded. */
+	/** Returns the backend server with the lowest cost, or undefined when every candidate is excluded. */
 	choose(query: PlacementQuery): Choice | undefined {
-		const homes = homesOf(query.promptParts, query.candidates);
-		const choices = query.candidates.map(backend => this.estimate(backend, query, homes[0] === backend.id));
-		const open = choices.filter(choice => !query.excluded.has(choice.backend.id));
+		const preferred = rankPreferred(query.promptParts, query.candidates);
+		const choices = query.candidates.map(backend => this.estimate(backend, query, preferred[0] === backend.id));
+		const eligible = choices.filter(choice => !query.excluded.has(choice.backend.id));
 		let best: Choice | undefined;
-		for (const choice of open.length > weighedEngines && !query.isSuspect ? sample(open, homes, query.random) : open) {
+		for (const choice of eligible.length > maxScoredEngines && !query.isSuspect ? selectScored(eligible, preferred, query.random) : eligible) {
 			if (!best || (query.isSuspect ? choice.inFlight < best.inFlight : choice.costMs < best.costMs)) {
 				best = choice;
 			}
 		}
 
 		if (best) {
-			best.copyFrom = fullestBeside(best, choices);
+			best.copyFrom = findCacheSource(best, choices);
 		}
 
 		return best;
 	}
 
-	/** Notes a request sent; call the returned function once when it is over. */
+	/** Records a request sent to a backend server; the caller reports its progress and end to the returned object. */
 	begin(backendId: string, promptTokens: number, promptParts: PromptPart[], nowMs: number): RunningRequest {
-		const view = this.view(backendId);
-		view.inFlight++;
-		view.pendingTokens += promptTokens;
+		const stats = this.statsOf(backendId);
+		stats.inFlight++;
+		stats.pendingTokens += promptTokens;
 		for (const part of promptParts) {
-			view.cached.delete(part.id);
-			view.cached.set(part.id, nowMs);
+			stats.cachedParts.delete(part.id);
+			stats.cachedParts.set(part.id, nowMs);
 		}
 
-		while (view.cached.size > rememberedParts) {
-			view.cached.delete(view.cached.keys().next().value!);
+		while (stats.cachedParts.size > maxCachedParts) {
+			stats.cachedParts.delete(stats.cachedParts.keys().next().value!);
 		}
 
-		return new RunningRequest(view, promptTokens);
+		return new RunningRequest(stats, promptTokens);
 	}
 
+	/** Records the load that a backend server reported. */
 	noteLoad(backendId: string, load: StatedLoad, nowMs: number): void {
-		const view = this.view(backendId);
-		view.stated = load;
-		view.statedAtMs = nowMs;
+		const stats = this.statsOf(backendId);
+		stats.reportedLoad = load;
+		stats.reportedAtMs = nowMs;
 	}
 
+	/** Records a failed request, which raises the cost of the backend server for a while. */
 	noteFailure(backendId: string, nowMs: number): void {
-		this.view(backendId).failures.push(nowMs);
+		this.statsOf(backendId).failures.push(nowMs);
 	}
 
-	/** Requests in flight from this daemon, by backend server. */
+	/** Returns this daemon's requests in flight, by id of the backend server. */
 	inFlight(): Record<string, number> {
-		return Object.fromEntries([...this.views].filter(([, view]) => view.inFlight > 0).map(([id, view]) => [id, view.inFlight]));
+		return Object.fromEntries([...this.statsByBackend].filter(([, stats]) => stats.inFlight > 0).map(([id, stats]) => [id, stats.inFlight]));
 	}
 
-	/** Forgets backend servers that are not listed any more. */
+	/** Drops the statistics of backend servers that are not listed any more and have no request in flight. */
 	retain(ids: ReadonlySet<string>): void {
-		for (const [id, view] of this.views) {
-			if (!ids.has(id) && view.inFlight === 0) {
-				this.views.delete(id);
+		for (const [id, stats] of this.statsByBackend) {
+			if (!ids.has(id) && stats.inFlight === 0) {
+				this.statsByBackend.delete(id);
 			}
 		}
 	}
 
-	private estimate(backend: Backend, query: PlacementQuery, isHome: boolean): Choice {
-		const view = this.view(backend.id);
+	private estimate(backend: Backend, query: PlacementQuery, isPreferred: boolean): Choice {
+		const stats = this.statsOf(backend.id);
 		const {nowMs, promptParts, promptTokens} = query;
-		view.failures = view.failures.filter(atMs => nowMs - atMs < failureMemoryMs);
-		const cachedTokens = Math.max(cachedIn(view, promptParts, nowMs), isHome ? sharedTokens(promptParts) * homeShare : 0);
-		const stated = view.stated && nowMs - view.statedAtMs <= statedLoadMs ? view.stated.running + view.stated.waiting : 0;
-		const inFlight = Math.max(view.inFlight + query.peersInFlight(backend.id), Math.min(stated, view.inFlight + query.peersInFlight(backend.id) + 4));
+		stats.failures = stats.failures.filter(atMs => nowMs - atMs < failureMaxAgeMs);
+		const cachedTokens = Math.max(cachedPrefixTokens(stats, promptParts, nowMs), isPreferred ? sharedTokens(promptParts) * preferredCacheShare : 0);
+		const reported = stats.reportedLoad && nowMs - stats.reportedAtMs <= reportedLoadMaxAgeMs ? stats.reportedLoad.running + stats.reportedLoad.waiting : 0;
+		const inFlight = Math.max(stats.inFlight + query.peersInFlight(backend.id), Math.min(reported, stats.inFlight + query.peersInFlight(backend.id) + 4));
 		const queued = Math.max(0, inFlight + 1 - backend.slots);
-		const waitMs = ((view.pendingTokens + Math.max(0, promptTokens - cachedTokens)) / prefillTokensPerMs) + (queued * queuedCostMs);
+		const waitMs = ((stats.pendingTokens + Math.max(0, promptTokens - cachedTokens)) / prefillTokensPerMs) + (queued * queuedRequestCostMs);
 		const costMs = waitMs
-			+ (promptTokens > 0 ? fullEngineCostMs * ((inFlight / backend.slots) ** 2) : slotCostMs * inFlight / backend.slots)
-			+ (view.failures.length * failureCostMs)
-			+ (backend.coldForMs > 0 ? coldCostMs : 0)
+			+ (promptTokens > 0 ? fullEngineCostMs * ((inFlight / backend.slots) ** 2) : fullServiceCostMs * inFlight / backend.slots)
+			+ (stats.failures.length * failureCostMs)
+			+ (backend.coldForMs > 0 ? coldStartCostMs : 0)
 			+ (backend.failureDomain === this.failureDomain ? 0 : otherDomainCostMs);
 		return {
 			backend, costMs, waitMs, cachedTokens, inFlight, copyFrom: undefined,
 		};
 	}
 
-	private view(backendId: string): View {
-		let view = this.views.get(backendId);
-		if (!view) {
-			view = {
-				inFlight: 0, pendingTokens: 0, stated: undefined, statedAtMs: 0, failures: [], cached: new Map(),
+	private statsOf(backendId: string): BackendStats {
+		let stats = this.statsByBackend.get(backendId);
+		if (!stats) {
+			stats = {
+				inFlight: 0, pendingTokens: 0, reportedLoad: undefined, reportedAtMs: 0, failures: [], cachedParts: new Map(),
 			};
-			this.views.set(backendId, view);
+			this.statsByBackend.set(backendId, stats);
 		}
 
-		return view;
+		return stats;
 	}
 }
 
-/** One request at a backend server, as the load estimate sees it. */
+/** One request in flight at a backend server, as the load estimate counts it. */
 export class RunningRequest {
-	private isReading = true;
-	private isOver = false;
+	private isPrefilling = true;
+	private hasEnded = false;
 
 	constructor(
-		private readonly view: View,
+		private readonly stats: BackendStats,
 		private readonly promptTokens: number,
 	) {}
 
-	/** Its first event came: its prompt was read. */
+	/** Records the first event of the answer: the prompt has been prefilled. */
 	noteRead(): void {
-		if (this.isReading) {
-			this.isReading = false;
-			this.view.pendingTokens -= this.promptTokens;
+		if (this.isPrefilling) {
+			this.isPrefilling = false;
+			this.stats.pendingTokens -= this.promptTokens;
 		}
 	}
 
-	/** It is over; later calls do nothing. */
+	/** Records the end of the request; later calls do nothing. */
 	end(): void {
-		if (!this.isOver) {
-			this.isOver = true;
+		if (!this.hasEnded) {
+			this.hasEnded = true;
 			this.noteRead();
-			this.view.inFlight--;
+			this.stats.inFlight--;
 		}
 	}
 }
 
-/** The engine that should hold the most of the prompt beyond the chosen one. */
-function fullestBeside(chosen: Choice, choices: Choice[]): Backend | undefined {
-	let fullest: Choice | undefined;
+/** Returns the engine that should have the most of the prompt cached, if that is enough more than the chosen one has. */
+function findCacheSource(chosen: Choice, choices: Choice[]): Backend | undefined {
+	let source: Choice | undefined;
 	for (const choice of choices) {
-		if (choice.cachedTokens > (fullest ?? chosen).cachedTokens) {
-			fullest = choice;
+		if (choice.cachedTokens > (source ?? chosen).cachedTokens) {
+			source = choice;
 		}
 	}
 
-	return fullest && fullest.cachedTokens - chosen.cachedTokens >= leastCopiedTokens ? fullest.backend : undefined;
+	return source && source.cachedTokens - chosen.cachedTokens >= minCopiedTokens ? source.backend : undefined;
 }
 
-/** Tokens of the leading parts that are cached; a part only counts if all before it do. */
-function cachedIn(view: View, parts: PromptPart[], nowMs: number): number {
+/** Counts the tokens of the leading parts that should be cached; a part only counts if all parts before it do. */
+function cachedPrefixTokens(stats: BackendStats, parts: PromptPart[], nowMs: number): number {
 	let tokens = 0;
 	for (const part of parts) {
-		const usedAtMs = view.cached.get(part.id);
-		if (usedAtMs === undefined || nowMs - usedAtMs > cachedMs) {
+		const usedAtMs = stats.cachedParts.get(part.id);
+		if (usedAtMs === undefined || nowMs - usedAtMs > cachedPartMaxAgeMs) {
 			break;
 		}
 
@@ -239,7 +246,7 @@
 	return tokens;
 }
 
-/** Tokens of all parts but the last, which belongs to the request or its session. */
+/** Counts the tokens of all parts but the last, which belongs to the request or its session alone. */
 function sharedTokens(parts: PromptPart[]): number {
 	let tokens = 0;
 	for (const part of parts.slice(0, -1)) {
@@ -249,21 +256,21 @@
 	return tokens;
 }
 
-/** The engines to weigh of many: those that should have much of the prompt cached, its homes, and a few at random. */
-function sample(choices: Choice[], homes: string[], random: () => number): Choice[] {
-	const least = Math.min(...choices.map(choice => choice.cachedTokens));
-	const known = choices.filter(({backend, cachedTokens}) => cachedTokens - least >= leastCachedTokens || homes.includes(backend.id));
-	const drawn = Array.from({length: drawnEngines}, () => choices[Math.floor(random() * choices.length)]);
-	return [...known, ...drawn];
+/** Returns the choices to compare among many: those that should have much of the prompt cached, the preferred engines, and a few at random. */
+function selectScored(choices: Choice[], preferred: string[], random: () => number): Choice[] {
+	const fewestCached = Math.min(...choices.map(choice => choice.cachedTokens));
+	const cached = choices.filter(({backend, cachedTokens}) => cachedTokens - fewestCached >= minCachedTokens || preferred.includes(backend.id));
+	const sampled = Array.from({length: sampledEngineCount}, () => choices[Math.floor(random() * choices.length)]);
+	return [...cached, ...sampled];
 }
 
-/** The engines that every daemon would choose first for a prompt's last shared part, by rendezvous hashing. */
-function homesOf(parts: PromptPart[], candidates: Backend[]): string[] {
+/** Returns the ids of the engines that every daemon prefers for a prompt's last shared part, best first, by rendezvous hashing. */
+function rankPreferred(parts: PromptPart[], candidates: Backend[]): string[] {
 	const part = parts.at(-2) ?? parts.at(-1);
 	if (!part) {
 		return [];
 	}
 
 	const scored = candidates.map(({id}) => ({id, score: createHash('md5').update(part.id).update(id).digest().readUInt32BE(0)}));
-	return scored.toSorted((a, b) => b.score - a.score).slice(0, homeEngines).map(({id}) => id);
+	return scored.toSorted((a, b) => b.score - a.score).slice(0, preferredEngineCount).map(({id}) => id);
 }
--- a/src/coordination/quota-ledger.ts
+++ b/src/coordination/quota-ledger.ts
@@ -1,48 +1,52 @@
 /**
- * Client accounts' limits over all daemons. Every daemon keeps what was admitted to an
- * account in the window of the limit: by itself, and by the others as they say. It answers
- * an account that sends many times its usual through daemons that serve uneven shares of it.
+ * Enforces client accounts' rate limits over all daemons. Every daemon sums what was admitted
+ * to an account within the sliding window of its limit, by itself and, as reported, by its
+ * peers. The limit so also holds for an account that sends many times its usual load through
+ * daemons that serve uneven shares of it.
  *
- * What peers admitted arrives late. Until it does, they are taken to go on at the rate that
- * was heard of them. When less is left of a limit than is asked for until news come, all
- * daemons admit the same share of what they are asked, so that together they do not take
- * what is left many times over: in simulated plays over 86 daemons, an account that asks for
- * four to eight times its limit stays within its bound, and passes it without; one within
- * its limit is refused less than one request in a hundred.
- * A peer that fell silent is taken to admit its equal share, since it may be cut off and
- * serving. A daemon that hears few of the others keeps to that share itself, in a large fleet
- * for a window after: what was admitted while no relay answered is told by nobody.
+ * Peers' reports arrive late. Until they do, peers are assumed to go on admitting at the rate
+ * last reported. When less is left of a limit than is requested until the next reports, all
+ * daemons admit the same share of their requests, so that they do not together admit several
+ * times what is left. In simulations of 86 daemons, an account that requests four to eight
+ * times its limit stays within its bound with this rule and exceeds it without; an account
+ * within its limit has less than one request in a hundred refused.
+ * A silent peer is assumed to admit its equal share, since it may be partitioned and still
+ * serving. A daemon that hears from few of the others limits itself to that share; in a large
+ * fleet it does so for a further window, since nobody reports what was admitted while no relay
+ * answered.
  *
- * A daemon that has just started adopts what its peers know of the window, or what the store
- * does: the latter with what may have been admitted after it was written, since all daemons
- * may have been killed at once. Peers that it knows of and has not heard yet are taken to be
- * asked as much as it is: otherwise each of many daemons that start together would admit all
- * that is left. Where nothing is known, it grants the limit only as its own window fills.
+ * A daemon that has just started takes over the window's history from its peers, or from the
+ * store. The stored history includes what may have been admitted after it was written, since
+ * all daemons may have been killed at once. Known peers that it has not heard from yet are
+ * assumed to get as many requests as it does itself: otherwise each of many daemons that start
+ * together would admit all that is left. Without any history, a daemon grants the limit only
+ * in proportion to the part of the window that it has seen itself.
  */
 import {type Account} from '../protocol/serving.js';
 import {
 	type AccountUse, AccountWindow, profileParts, sumOfProfile, type UseProfile,
 } from './account-window.js';
 
-/** Share of the operators' slack and tolerance that is granted; the rest covers the error of what peers are taken to admit. */
-const grantedShare = 0.4;
-/** Time for which what is left of a limit must suffice before all that is asked is admitted, as a factor on the time that news take and are apart. Less than one lets every daemon take the rest before it hears of the others; more leaves that much of the limit unused by an account that asks for more than it. */
+/** Share of the operators' slack and tolerance that is granted; the rest covers the error in what peers are assumed to admit. */
+const grantedSlackShare = 0.4;
+/** Time for which the rest of a limit must suffice so that all requests are admitted, as a factor on the delay plus the interval of peers' reports. Below one, every daemon may admit the whole rest before it hears from the others; a higher factor leaves more of the limit unused by an account that requests more than it. */
 const reserveFactor = 1.2;
-/** Time for which a written bound is meant to last, in milliseconds: until the next one is written and can be read, with the time that news take to the writer. */
-const aheadMs = 2500;
-/** Factor on what an account is expected to ask for in that time, since it may ask for more than just now. */
-const aheadFactor = 1.5;
+/** Time for which a stored bound must hold, in milliseconds: until the next one is written and can be read, including the delay of peers' reports to the writer. */
+const boundLifetimeMs = 2500;
+/** Factor on the cost that an account is expected to request in that time, since its rate may rise. */
+const expectedCostFactor = 1.5;
 
-/** How the operators bound an account's use. */
+/** The bounds that operators set on how far an account's use may exceed its limit. */
 export type QuotaBounds = {
+	/** Length of the sliding window, in milliseconds. */
 	windowMs: number;
-	/** Share of the limit by which a window may pass it. */
+	/** Share of the limit by which a window may exceed it. */
 	tolerance: number;
-	/** Cost units by which a window may pass it. */
+	/** Cost units by which a window may exceed it. */
 	slack: number;
 };
 
-/** Cost of a request for an account. */
+/** Returns the cost of a request: 1 for an account that limits requests; for one that limits tokens, those of the prompt and the most of the output, or a fixed number where the request has no prompt. */
 export function requestCost(account: Account, promptTokens: number | undefined, maxOutputTokens: number | undefined): number {
 	if (!account.countsTokens) {
 		return 1;
@@ -53,41 +57,43 @@
 
 /** What is known of the other daemons when a request is admitted. */
 export type QuotaPeers = {
+	/** Daemons that share the limits, this one included. */
 	daemons: number;
+	/** Daemons among them that have not reported of late. */
 	silent: number;
-	/** How long news of what peers admitted take to come, in milliseconds. */
+	/** Delay until a report of what peers admitted arrives, in milliseconds. */
 	unheardMs: number;
-	/** Time between news, in milliseconds. */
+	/** Interval of the reports, in milliseconds. */
 	roundMs: number;
-	/** Daemons that may have started with this one and were not heard yet. */
+	/** Further daemons that may have started together with this one and have not reported yet. */
 	unheardOf: number;
-	/** Whether this daemon does not know what most of the others admitted in the window. */
+	/** Whether this daemon lacks reports of what most of the others admitted in the window. */
 	isAlone: boolean;
 };
 
-/** What all daemons admitted to an account in the window, and what they may admit beyond it until that is said anew, in cost units. */
+/** What all daemons admitted to an account in the window, and what they may admit in addition until the next record is written, in cost units. */
 export type WindowBound = {uses: UseProfile; ahead: number};
 
-/** Share of an account's requests to admit by what is known of the window: 1 far from its limit, 0 where nothing is left of it. */
-function shareOf(window: AccountWindow, cost: number, limit: number, peers: QuotaPeers, nowMs: number): number {
-	const unheard = (window.peersAdmitted.perMs(peers.roundMs, nowMs) * peers.unheardMs) + (window.own.admitted * peers.unheardOf);
-	const left = limit - window.sum(nowMs) - unheard;
-	if (left < cost) {
+/** Returns the share of an account's requests to admit: 1 far from its limit, 0 when nothing is left of it. */
+function shareWithinLimit(window: AccountWindow, cost: number, limit: number, peers: QuotaPeers, nowMs: number): number {
+	const unreported = (window.peersAdmitted.ratePerMs(peers.roundMs, nowMs) * peers.unheardMs) + (window.own.admitted * peers.unheardOf);
+	const remaining = limit - window.sum(nowMs) - unreported;
+	if (remaining < cost) {
 		return 0;
 	}
 
-	const askedPerMs = window.peersAsked.perMs(peers.roundMs, nowMs) + (window.ownAsked.perMs(peers.roundMs, nowMs) * peers.unheardOf);
-	const reserve = askedPerMs * (peers.unheardMs + peers.roundMs) * reserveFactor;
-	return left >= reserve ? 1 : left / reserve;
+	const requestedPerMs = window.peersRequested.ratePerMs(peers.roundMs, nowMs) + (window.ownRequested.ratePerMs(peers.roundMs, nowMs) * peers.unheardOf);
+	const reserve = requestedPerMs * (peers.unheardMs + peers.roundMs) * reserveFactor;
+	return remaining >= reserve ? 1 : remaining / reserve;
 }
 
-/** What was admitted to all accounts. */
+/** Tracks what was admitted to all accounts and admits their requests. */
 export class QuotaLedger {
 	private readonly windows = new Map<string, AccountWindow>();
-	/** Whether the history of the window is known: from a peer, or because the whole system has just been set up. */
+	/** Whether the history of the window is known: from a peer, from the store, or because the whole system starts for the first time. */
 	private isHistoryKnown: boolean;
-	/** Whether the next sums of a peer are taken over. */
-	private needsSums: boolean;
+	/** Whether the next profiles that a peer sends are taken over. */
+	private needsProfiles: boolean;
 
 	/** @param isFirstStart Whether the whole system starts for the first time, so that nothing was admitted before. */
 	constructor(
@@ -96,13 +102,14 @@
 		private readonly isFirstStart: boolean,
 	) {
 		this.isHistoryKnown = isFirstStart;
-		this.needsSums = !isFirstStart;
+		this.needsProfiles = !isFirstStart;
 	}
 
 	/**
-	 * Admits a request, or says in how many milliseconds it may be.
+	 * Admits or refuses a request.
 	 *
-	 * @param draw Drawn evenly from 0 to 1, decides which requests are admitted when not all are.
+	 * @param draw A uniform random number from 0 to 1 that decides which requests are admitted when only a share is.
+	 * @returns Undefined on admission, otherwise the time in milliseconds after which the request may be sent again.
 	 */
 	admit(account: Account, cost: number, peers: QuotaPeers, draw: number, nowMs: number): {waitMs: number} | undefined {
 		if (account.ratePerSecond === undefined) {
@@ -110,17 +117,17 @@
 		}
 
 		const window = this.window(account.name);
-		window.ownAsked.add(cost, nowMs);
+		window.ownRequested.add(cost, nowMs);
 		if (draw >= this.admittedShare(account, cost, peers, nowMs)) {
 			window.own.refused += cost;
-			return {waitMs: Math.ceil(window.untilFreeMs(nowMs))};
+			return {waitMs: Math.ceil(window.nextExpiryMs(nowMs))};
 		}
 
 		window.addOwn(cost, nowMs);
 		return undefined;
 	}
 
-	/** Notes the limits of a configuration as it comes into force, so that a lowered one counts from then on, also for an account that asks for nothing here for a while. */
+	/** Records the limits of a configuration that comes into force, so that a lowered limit counts from then on, even for an account that sends no request to this daemon for a while. */
 	noteLimits(accounts: Account[], nowMs: number): void {
 		for (const {name, ratePerSecond, burst} of accounts) {
 			if (ratePerSecond !== undefined) {
@@ -136,7 +143,7 @@
 		}
 	}
 
-	/** Takes what peers admitted and refused since they last said so. */
+	/** Adds what peers admitted and refused since their last report. */
 	notePeers(accountName: string, use: AccountUse, nowMs: number): void {
 		if (use.admitted === 0 && use.refused === 0) {
 			return;
@@ -145,62 +152,62 @@
 		const window = this.window(accountName);
 		window.add(use.admitted, nowMs);
 		window.peersAdmitted.add(use.admitted, nowMs);
-		window.peersAsked.add(use.admitted + use.refused, nowMs);
+		window.peersRequested.add(use.admitted + use.refused, nowMs);
 	}
 
-	/** Notes that peers may have admitted what this daemon will never hear of; the next sums of one that knows make up for it. */
+	/** Records that peers may have admitted requests whose reports were lost; the next profiles that a peer sends make up for them. */
 	doubtHistory(): void {
-		this.needsSums = true;
+		this.needsProfiles = true;
 	}
 
-	/** Whether the sums of a peer are still to be taken over. */
+	/** Whether this daemon still needs the profiles of a peer. */
 	get lacksSums(): boolean {
-		return this.needsSums;
+		return this.needsProfiles;
 	}
 
-	/** Takes over what a peer knows of the window, once after a start or a doubt: what is admitted later the peers say themselves. */
+	/** Takes over the window as a peer knows it, once after a start or after reports may have been lost; what is admitted later comes with the peers' reports. */
 	adopt(profiles: Record<string, UseProfile>, nowMs: number): void {
-		if (!this.needsSums) {
+		if (!this.needsProfiles) {
 			return;
 		}
 
-		this.needsSums = false;
+		this.needsProfiles = false;
 		this.isHistoryKnown = true;
 		for (const account of new Set([...this.windows.keys(), ...Object.keys(profiles)])) {
-			this.window(account).adopt(profiles[account] ?? [], nowMs);
+			this.window(account).adoptProfile(profiles[account] ?? [], nowMs);
 		}
 	}
 
-	/** Takes over what was written before this daemon started, as if it had been written just now: nobody can say for how long all daemons were away. A peer's word takes its place. */
+	/** Takes over the bounds stored before this daemon started, as if written just now, since the time for which all daemons were down is unknown. The profiles of a peer replace them. */
 	adoptWritten(bounds: Record<string, WindowBound>, nowMs: number): void {
-		if (!this.needsSums || this.isHistoryKnown) {
+		if (!this.needsProfiles || this.isHistoryKnown) {
 			return;
 		}
 
 		this.isHistoryKnown = true;
 		for (const [account, {uses, ahead}] of Object.entries(bounds)) {
 			const [newest = 0, ...older] = uses;
-			this.window(account).guess([newest + ahead, ...older], nowMs);
+			this.window(account).adoptEstimate([newest + ahead, ...older], nowMs);
 		}
 	}
 
-	/** Everything this daemon admitted and refused since its start, by account. */
+	/** Returns everything that this daemon admitted and refused since its start, by account. */
 	own(): Map<string, AccountUse> {
 		return new Map([...this.windows].map(([name, window]) => [name, {...window.own}]));
 	}
 
-	/** What all daemons admitted in the window, by account, for peers that have just started; none while this daemon does not know. */
+	/** Returns what all daemons admitted in the window, by account, for peers that have just started; undefined while this daemon does not know the whole window. */
 	profiles(nowMs: number): Record<string, UseProfile> | undefined {
-		return this.isCompleteAt(nowMs) ? Object.fromEntries([...this.windows].map(([name, window]) => [name, window.profile(nowMs).map(cost => Math.round(cost))])) : undefined;
+		return this.isHistoryCompleteAt(nowMs) ? Object.fromEntries([...this.windows].map(([name, window]) => [name, window.profile(nowMs).map(cost => Math.round(cost))])) : undefined;
 	}
 
-	/** What all daemons admitted in the window and may admit until this is said anew, for daemons that start after all were lost; none while this daemon does not know. */
+	/** Returns the bounds to store for the case that all daemons are lost at once: what they admitted in the window and may admit until the next write; undefined while this daemon does not know the whole window. */
 	writtenBounds(roundMs: number, nowMs: number): Record<string, WindowBound> | undefined {
 		const profiles = this.profiles(nowMs);
-		return profiles && Object.fromEntries(Object.entries(profiles).map(([name, uses]) => [name, {uses, ahead: this.aheadOf(name, uses, roundMs, nowMs)}]));
+		return profiles && Object.fromEntries(Object.entries(profiles).map(([name, uses]) => [name, {uses, ahead: this.expectedUntilNextWrite(name, uses, roundMs, nowMs)}]));
 	}
 
-	/** Whether more was admitted to an account than a bound says, so that a daemon that went by it would grant too much. */
+	/** Returns whether more was admitted to an account than its bound covers, so that a daemon that started from the bound would grant too much. */
 	passes(bounds: Record<string, WindowBound>, nowMs: number): boolean {
 		return [...this.windows].some(([name, window]) => {
 			const bound = bounds[name];
@@ -208,45 +215,46 @@
 		});
 	}
 
-	private isCompleteAt(nowMs: number): boolean {
+	private isHistoryCompleteAt(nowMs: number): boolean {
 		return this.isHistoryKnown || nowMs - this.startedAtMs > this.bounds.windowMs;
 	}
 
-	/** Cost units that an account may be admitted while a written bound is to last: what it is expected to ask for, as far as its limit allows. */
-	private aheadOf(accountName: string, uses: UseProfile, roundMs: number, nowMs: number): number {
+	/** Returns the cost units that an account may be admitted while a stored bound must hold: what it is expected to request, as far as its limit allows. */
+	private expectedUntilNextWrite(accountName: string, uses: UseProfile, roundMs: number, nowMs: number): number {
 		const window = this.window(accountName);
-		const {latest} = window.limits;
-		const expected = (window.peersAsked.perMs(roundMs, nowMs) + window.ownAsked.perMs(roundMs, nowMs)) * aheadMs * aheadFactor;
-		if (!latest) {
+		const {current} = window.limits;
+		const expected = (window.peersRequested.ratePerMs(roundMs, nowMs) + window.ownRequested.ratePerMs(roundMs, nowMs)) * boundLifetimeMs * expectedCostFactor;
+		if (!current) {
 			return Math.round(expected);
 		}
 
-		const stays = sumOfProfile(uses.slice(0, Math.floor(profileParts * (1 - (aheadMs / this.bounds.windowMs)))));
-		return Math.round(Math.max(0, Math.min(expected, this.full(window.limits.granted(latest, nowMs)) - stays)));
+		const costStillInWindow = sumOfProfile(uses.slice(0, Math.floor(profileParts * (1 - (boundLifetimeMs / this.bounds.windowMs)))));
+		return Math.round(Math.max(0, Math.min(expected, this.withGrantedSlack(window.limits.grantedInWindow(current, nowMs)) - costStillInWindow)));
 	}
 
-	/** Share of an account's requests to admit now. */
+	/** Returns the share of an account's requests to admit now. */
 	private admittedShare(account: Account, cost: number, peers: QuotaPeers, nowMs: number): number {
 		const window = this.window(account.name);
-		const isUninformed = peers.isAlone || peers.unheardOf > 0;
-		if (isUninformed && window.ownSum(nowMs) + cost > this.equalShare(account, peers, nowMs)) {
+		const hasMissingPeers = peers.isAlone || peers.unheardOf > 0;
+		if (hasMissingPeers && window.ownSum(nowMs) + cost > this.equalShare(account, peers, nowMs)) {
 			return 0;
 		}
 
-		return peers.isAlone ? 1 : shareOf(window, cost, this.limit(account, peers, nowMs), peers, nowMs);
+		return peers.isAlone ? 1 : shareWithinLimit(window, cost, this.effectiveLimit(account, peers, nowMs), peers, nowMs);
 	}
 
-	private limit(account: Account, peers: QuotaPeers, nowMs: number): number {
+	/** Returns the limit less the shares of silent peers, and scaled down while the window's history is unknown. */
+	private effectiveLimit(account: Account, peers: QuotaPeers, nowMs: number): number {
 		const {windowMs} = this.bounds;
-		const heard = 1 - (Math.min(peers.silent, peers.daemons - 1) / Math.max(1, peers.daemons));
-		const known = this.isHistoryKnown ? 1 : Math.min(1, (nowMs - this.startedAtMs) / windowMs) / 2;
-		return this.full(this.granted(account, nowMs)) * heard * known;
+		const heardShare = 1 - (Math.min(peers.silent, peers.daemons - 1) / Math.max(1, peers.daemons));
+		const knownShare = this.isHistoryKnown ? 1 : Math.min(1, (nowMs - this.startedAtMs) / windowMs) / 2;
+		return this.withGrantedSlack(this.granted(account, nowMs)) * heardShare * knownShare;
 	}
 
 	/**
-	 * This daemon's equal share of a limit. Tolerance and slack are left out, since they cover
-	 * what the others admit before they notice that this one is silent; one that restarted
-	 * gets half, since it may have admitted the rest before.
+	 * Returns this daemon's equal share of a limit. It leaves out tolerance and slack, since they
+	 * cover what the others admit before they notice that this daemon is silent. A restarted
+	 * daemon gets half, since it may have admitted the other half before.
 	 */
 	private equalShare(account: Account, {daemons, unheardOf}: QuotaPeers, nowMs: number): number {
 		const hasRestarted = !this.isFirstStart && nowMs - this.startedAtMs < this.bounds.windowMs;
@@ -254,13 +262,13 @@
 	}
 
 	private granted(account: Account, nowMs: number): number {
-		return this.window(account.name).limits.granted({ratePerSecond: account.ratePerSecond!, burst: account.burst}, nowMs);
+		return this.window(account.name).limits.grantedInWindow({ratePerSecond: account.ratePerSecond!, burst: account.burst}, nowMs);
 	}
 
-	/** A limit with the part of the operators' tolerance and slack that is granted. */
-	private full(granted: number): number {
+	/** Adds the granted part of the operators' tolerance and slack to a limit. */
+	private withGrantedSlack(granted: number): number {
 		const {tolerance, slack} = this.bounds;
-		return (granted * (1 + (tolerance * grantedShare))) + (slack * grantedShare);
+		return (granted * (1 + (tolerance * grantedSlackShare))) + (slack * grantedSlackShare);
 	}
 
 	private window(accountName: string): AccountWindow {
--- a/src/coordination/retry-allowance.ts
+++ b/src/coordination/retry-allowance.ts
@@ -1,45 +1,48 @@
 /**
- * Bounds the arrivals at a service beyond the first of each request, over all daemons.
- * It answers replicas that fail together: without a bound, every daemon would send every
- * failed request again and multiply the load of those that are left.
+ * The retry budget of a service over all daemons: it bounds the attempts beyond the first of
+ * each request. Without it, when several replicas fail together, every daemon would retry
+ * every failed request and multiply the load of the remaining replicas.
  *
- * Each daemon uses its own share and asks nobody: retries follow its own requests, and the
- * fixed part is divided by the number of daemons.
+ * Each daemon uses its own share without coordination: the proportional part follows its own
+ * requests, and the fixed part is divided by the number of daemons.
  */
 
-/** What a second arrival is for; moves of running streams may use what retries may not. */
+/** The purpose of a further attempt. Moves of running streams may use a part of the budget that retries may not. */
 export enum RepeatPurpose {
 	Retry = 'retry',
 	Move = 'move',
 }
 
-/** Share of the bound that each purpose may fill; the rest covers daemons that are not known yet. */
+/** Share of the budget up to which each purpose may use it; the rest covers daemons that are not known yet. */
 const usableShares: Record<RepeatPurpose, number> = {[RepeatPurpose.Retry]: 0.75, [RepeatPurpose.Move]: 0.9};
-/** The window is counted in this many steps. */
-const steps = 10;
+/** Steps that the window is counted in. */
+const windowSteps = 10;
 
-/** The bound over all daemons. */
+/** The retry budget over all daemons: in each window, further attempts up to `ratio` times the requests plus `slack`. */
 export type RetryBound = {ratio: number; windowMs: number; slack: number};
 
-/** The bound of one gateway, whose settings name none: one retry for five first tries, and some for a short outage of one engine. */
+/** The retry budget of a gateway, which has no setting for it: one retry for five requests, and some for a short outage of one engine. */
 export const defaultRetryBound: RetryBound = {ratio: 0.2, windowMs: 10_000, slack: 27};
 
+/** First attempts and further attempts in one step. */
 type Counts = {step: number; firsts: number; repeats: number};
 
+/** The attempts for one service within the sliding window. */
 class ServiceWindow {
 	private readonly counts: Counts[] = [];
 
 	constructor(private readonly stepMs: number) {}
 
-	/** The counts of an earlier step, if it is still in the window. */
-	earlier(atMs: number): Counts | undefined {
+	/** Returns the counts of the step at `atMs`, if it is still in the window. */
+	countsAt(atMs: number): Counts | undefined {
 		const step = this.stepOf(atMs);
 		return this.counts.find(count => count.step === step);
 	}
 
-	at(nowMs: number): Counts {
+	/** Returns the counts of the current step and drops the steps that have left the window. */
+	currentCounts(nowMs: number): Counts {
 		const step = this.stepOf(nowMs);
-		while (this.counts.length > 0 && this.counts[0].step <= step - steps) {
+		while (this.counts.length > 0 && this.counts[0].step <= step - windowSteps) {
 			this.counts.shift();
 		}
 
@@ -48,13 +51,13 @@
 			return last;
 		}
 
-		const fresh = {step, firsts: 0, repeats: 0};
-		this.counts.push(fresh);
-		return fresh;
+		const added = {step, firsts: 0, repeats: 0};
+		this.counts.push(added);
+		return added;
 	}
 
 	sum(nowMs: number): {firsts: number; repeats: number} {
-		this.at(nowMs);
+		this.currentCounts(nowMs);
 		let firsts = 0;
 		let repeats = 0;
 		for (const count of this.counts) {
@@ -70,18 +73,18 @@
 	}
 }
 
-/** This daemon's share of the retries of every service. */
+/** This daemon's share of the retry budgets of all services. */
 export class RetryAllowance {
 	private readonly windows = new Map<string, ServiceWindow>();
 
 	constructor(private readonly bound: RetryBound) {}
 
-	/** Counts a request for a service. */
+	/** Counts the first attempt of a request. */
 	countRequest(service: string, nowMs: number): void {
-		this.window(service).at(nowMs).firsts++;
+		this.window(service).currentCounts(nowMs).firsts++;
 	}
 
-	/** Takes one repeat if the share allows it; `daemons` is the number that share the bound. */
+	/** Takes one further attempt from the budget if this daemon's share allows it; `daemons` is the number of daemons that share the budget. */
 	take(service: string, purpose: RepeatPurpose, daemons: number, nowMs: number): boolean {
 		const window = this.window(service);
 		const {firsts, repeats} = window.sum(nowMs);
@@ -90,19 +93,19 @@
 			return false;
 		}
 
-		window.at(nowMs).repeats++;
+		window.currentCounts(nowMs).repeats++;
 		return true;
 	}
 
-	/** Gives back a repeat that was taken and not used. */
+	/** Returns an attempt that was taken and not used to the budget. */
 	giveBack(service: string, takenAtMs: number): void {
-		const taken = this.window(service).earlier(takenAtMs);
-		if (taken) {
-			taken.repeats--;
+		const counts = this.window(service).countsAt(takenAtMs);
+		if (counts) {
+			counts.repeats--;
 		}
 	}
 
-	/** The requests for a service and the repeats of them in the last window. */
+	/** Returns the first and further attempts for a service in the window. */
 	used(service: string, nowMs: number): {firsts: number; repeats: number} {
 		return this.window(service).sum(nowMs);
 	}
@@ -110,7 +113,7 @@
 	private window(service: string): ServiceWindow {
 		let window = this.windows.get(service);
 		if (!window) {
-			window = new ServiceWindow(this.bound.windowMs / steps);
+			window = new ServiceWindow(this.bound.windowMs / windowSteps);
 			this.windows.set(service, window);
 		}
 
--- a/src/coordination/stated-limits.ts
+++ b/src/coordination/stated-limits.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps to the limits that backend servers in need state of themselves: requests a second
- * from all daemons together. A daemon that divided such a limit by the number of daemons
- * would have a share below one request in any useful time, and hundreds of daemons that each
- * send one are too many already. So a few daemons, chosen alike by all, send to a limited
- * backend server at an even pace; the others send nothing. Daemons tell each other what they
- * heard, since one that sends nothing hears nothing.
+ * Enforces the rate limits that overloaded backend servers state in their answers: requests a
+ * second from all daemons together. Dividing such a limit by the number of daemons would leave
+ * each a share below one request in any useful time, while one request from each of hundreds
+ * of daemons already exceeds the limit. So a few daemons, on which all daemons agree, send to a
+ * limited backend server at an even pace; the others send nothing. Daemons gossip the limits,
+ * since a daemon that sends no requests gets no answers that state them.
  */
 import {type LimitNews} from '../protocol/fleet-messages.js';
 import {createLogger} from '../log.js';
@@ -12,173 +12,178 @@
 
 const log = createLogger('limits');
 
-/** Daemons beyond the limit's requests a second that send to a limited backend server, so that one that fails is no gap. Each may be one request ahead of the pace. */
-const moreSenders = 2;
-/** Share of a stated limit that is used; the rest covers daemons that disagree for a moment on who sends. */
-const usedShare = 0.9;
-/** A stated limit below this is paced as this, in requests a second, so that its end is noticed. */
-const leastPerSecond = 0.1;
-/** A backend server that nobody heard of for this long gets the next request that it may, to learn whether its limit still holds, in milliseconds; twice as long after each such trial that brings no word, since it may be dead. */
-const unheardMs = 3000;
-/** A limit that nobody heard restated for this long is forgotten, in milliseconds. */
-const forgottenMs = 5 * 60_000;
-/** A choice of senders is kept this long, in milliseconds: it changes when daemons come and go. */
-const choiceKeptMs = 100;
-/** What is new is told for this long, in milliseconds: eight rounds, of which datagrams may lose some. */
-const toldMs = 2000;
-
-/** Whether this daemon sends to a backend server, and how many daemons do. */
+/** Number of daemons beyond the limit's requests a second that send to a limited backend server, so that the failure of one leaves no gap. Each may be one request ahead of the pace. */
+const extraSenders = 2;
+/** Share of a stated limit that is used; the rest covers moments in which daemons disagree on who sends. */
+const usedLimitShare = 0.9;
+/** Lowest pace in requests a second, also for lower limits, so that the end of a limit is noticed. */
+const minPacedPerSecond = 0.1;
+/** Time without a statement from a limited backend server after which the next request that its limit allows is sent to it as a probe, in milliseconds. It doubles with each probe that brings no statement, since the backend server may be dead. */
+const probeAfterMs = 3000;
+/** Age at which a limit that was not stated again is dropped, in milliseconds. */
+const limitMaxAgeMs = 5 * 60_000;
+/** Time for which a choice of senders is cached, in milliseconds: it changes when daemons join or leave. */
+const senderChoiceMaxAgeMs = 100;
+/** Time for which a change is gossiped, in milliseconds: eight rounds, since datagrams may be lost. */
+const gossipAfterChangeMs = 2000;
+
+/** Whether this daemon may send to a limited backend server, and how many daemons may. */
 export type SenderChoice = {isSender: boolean; senders: number};
 
-/** Whether a backend server may get a request now. */
+/** Whether this daemon may send a request to a backend server now. */
 export enum Permission {
+	/** The backend server has no limit, or its limit allows a request. */
 	Free = 'free',
-	/** Its limit leaves no room, or other daemons send to it. */
+	/** The limit allows no request now, or only other daemons send to the backend server. */
 	Withheld = 'withheld',
-	/** It may get one, and should, since it has not been heard of for a while. */
+	/** The limit allows a request, and one should be sent as a probe, since the backend server has not stated its limit for a while. */
 	Due = 'due',
 }
 
-type Statement = {
-	/** Undefined when it stated that it has no limit any more. */
+/** What is known of one backend server's limit. */
+type LimitEntry = {
+	/** Requests a second; undefined once the backend server answers without a limit. */
 	perSecond: number | undefined;
+	/** When the backend server last stated it, to any daemon. */
 	statedAtMs: number;
+	/** When the limit last changed, if this daemon gossips the change. */
 	changedAtMs: number;
 	/** When this daemon may send the next request. */
 	nextAtMs: number;
-	/** Requests sent to hear of it since it last stated something, and when the last one was. */
-	trials: number;
-	triedAtMs: number;
-	/** Who sends to it, and when that was chosen. */
+	/** Number of probes since the last statement. */
+	probes: number;
+	/** When the last probe was sent. */
+	probedAtMs: number;
+	/** The cached choice of senders, and when it was made. */
 	choice: (SenderChoice & {atMs: number}) | undefined;
 };
 
-/** What backend servers stated of their limits, as one daemon knows it. */
+/** The limits stated by backend servers, as far as one daemon knows them. */
 export class StatedLimits {
-	/** By the key of the backend server. */
-	private readonly statements = new Map<number, Statement>();
+	/** Entries by the numeric key of the backend server. */
+	private readonly entries = new Map<number, LimitEntry>();
 
-	/** @param chooseSenders Which daemons send to a backend server, of at most as many. */
-	constructor(private readonly chooseSenders: (backend: number, most: number, nowMs: number) => SenderChoice) {}
+	/** @param chooseSenders Chooses at most `maxSenders` daemons that send to a backend server. */
+	constructor(private readonly chooseSenders: (backend: number, maxSenders: number, nowMs: number) => SenderChoice) {}
 
 	/** Whether no backend server is limited. */
 	get isEmpty(): boolean {
-		return this.statements.size === 0;
+		return this.entries.size === 0;
 	}
 
-	/** Notes what an answer of a backend server says of its limit; undefined when it names none. */
+	/** Records the limit stated in an answer of a backend server; undefined when the answer states none. */
 	noteStated(backendId: string, perSecond: number | undefined, nowMs: number): void {
 		const key = backendKey(backendId);
-		if (perSecond !== undefined || this.statements.has(key)) {
-			const known = this.statements.get(key);
-			this.take(key, perSecond, nowMs, nowMs);
+		if (perSecond !== undefined || this.entries.has(key)) {
+			const known = this.entries.get(key);
+			this.setEntry(key, perSecond, nowMs, nowMs);
 			if (known?.perSecond !== perSecond) {
 				log.info('limit stated.', {backend: backendId, perSecond, before: known?.perSecond});
 			}
 		}
 	}
 
-	/** Whether a backend server may get a request from this daemon now. */
+	/** Returns whether this daemon may send a request to a backend server now. */
 	permission(backendId: string, nowMs: number): Permission {
 		const key = backendKey(backendId);
-		const statement = this.statements.get(key);
-		if (statement?.perSecond === undefined) {
+		const entry = this.entries.get(key);
+		if (entry?.perSecond === undefined) {
 			return Permission.Free;
 		}
 
-		if (nowMs < statement.nextAtMs || !this.choose(key, statement, nowMs).isSender) {
+		if (nowMs < entry.nextAtMs || !this.senderChoice(key, entry, nowMs).isSender) {
 			return Permission.Withheld;
 		}
 
-		return isDue(statement, nowMs) ? Permission.Due : Permission.Free;
+		return isProbeDue(entry, nowMs) ? Permission.Due : Permission.Free;
 	}
 
-	/** Notes that a request was sent to a backend server. */
+	/** Records a request sent to a backend server, which delays this daemon's next one. */
 	noteSent(backendId: string, nowMs: number): void {
 		const key = backendKey(backendId);
-		const statement = this.statements.get(key);
-		if (statement?.perSecond !== undefined) {
-			const {senders} = this.choose(key, statement, nowMs);
-			if (isDue(statement, nowMs)) {
-				statement.trials++;
-				statement.triedAtMs = nowMs;
+		const entry = this.entries.get(key);
+		if (entry?.perSecond !== undefined) {
+			const {senders} = this.senderChoice(key, entry, nowMs);
+			if (isProbeDue(entry, nowMs)) {
+				entry.probes++;
+				entry.probedAtMs = nowMs;
 			}
 
-			statement.nextAtMs = Math.max(nowMs, statement.nextAtMs) + (senders * pauseMs(statement.perSecond));
+			entry.nextAtMs = Math.max(nowMs, entry.nextAtMs) + (senders * requestIntervalMs(entry.perSecond));
 		}
 	}
 
-	/** Time until one of these backend servers may get a request, from this daemon or from another, in milliseconds; undefined when none is limited. */
+	/** Returns the time until any daemon may send a request to one of these backend servers, in milliseconds; undefined when none is limited. */
 	returnAfterMs(backendIds: string[], nowMs: number): number | undefined {
-		const waits = backendIds.map(id => this.statements.get(backendKey(id))).filter(statement => statement?.perSecond !== undefined).map(statement => Math.max(pauseMs(statement!.perSecond!), statement!.nextAtMs - nowMs));
+		const waits = backendIds.map(id => this.entries.get(backendKey(id))).filter(entry => entry?.perSecond !== undefined).map(entry => Math.max(requestIntervalMs(entry!.perSecond!), entry!.nextAtMs - nowMs));
 		return waits.length > 0 ? Math.min(...waits) : undefined;
 	}
 
-	/** Whether a backend server has a limit now. */
+	/** Returns whether a backend server has a limit now. */
 	isLimited(backendId: string): boolean {
-		return this.statements.get(backendKey(backendId))?.perSecond !== undefined;
+		return this.entries.get(backendKey(backendId))?.perSecond !== undefined;
 	}
 
-	/** What other daemons should know: what changed of late, and with `withAll` every limit in force. */
-	news(withAll: boolean, nowMs: number): LimitNews[] {
-		const told: LimitNews[] = [];
-		for (const [backend, {perSecond, statedAtMs, changedAtMs}] of this.statements) {
-			if (nowMs - statedAtMs > forgottenMs) {
-				this.statements.delete(backend);
-			} else if (nowMs - changedAtMs <= toldMs || (withAll && perSecond !== undefined)) {
-				told.push({backend, perSecond, ageMs: Math.round(nowMs - statedAtMs)});
+	/** Returns the updates for other daemons: recent changes, and with `shouldListAll` every limit in force. Drops outdated entries. */
+	news(shouldListAll: boolean, nowMs: number): LimitNews[] {
+		const updates: LimitNews[] = [];
+		for (const [backend, {perSecond, statedAtMs, changedAtMs}] of this.entries) {
+			if (nowMs - statedAtMs > limitMaxAgeMs) {
+				this.entries.delete(backend);
+			} else if (nowMs - changedAtMs <= gossipAfterChangeMs || (shouldListAll && perSecond !== undefined)) {
+				updates.push({backend, perSecond, ageMs: Math.round(nowMs - statedAtMs)});
 			}
 		}
 
-		return told;
+		return updates;
 	}
 
-	/** Takes what another daemon heard, where it is newer. A daemon that `passesOn` tells what is new to it on. */
-	hear(news: LimitNews[], passesOn: boolean, nowMs: number): void {
-		for (const {backend, perSecond, ageMs} of news) {
-			const known = this.statements.get(backend);
+	/** Applies the updates of another daemon that are newer than what is known. With `shouldForward` this daemon gossips the changes on. */
+	hear(updates: LimitNews[], shouldForward: boolean, nowMs: number): void {
+		for (const {backend, perSecond, ageMs} of updates) {
+			const known = this.entries.get(backend);
 			const statedAtMs = nowMs - ageMs;
 			if (!known || statedAtMs > known.statedAtMs) {
-				this.take(backend, perSecond, statedAtMs, passesOn ? nowMs : Number.NEGATIVE_INFINITY);
+				this.setEntry(backend, perSecond, statedAtMs, shouldForward ? nowMs : Number.NEGATIVE_INFINITY);
 			}
 		}
 	}
 
-	/** What a state dump shows. */
+	/** Returns a plain copy for state dumps. */
 	toJson(nowMs: number): unknown {
-		return [...this.statements].map(([backend, {perSecond, statedAtMs, nextAtMs}]) => ({
+		return [...this.entries].map(([backend, {perSecond, statedAtMs, nextAtMs}]) => ({
 			backend, perSecond, statedMsAgo: Math.round(nowMs - statedAtMs), nextInMs: Math.round(nextAtMs - nowMs),
 		}));
 	}
 
-	private take(backend: number, perSecond: number | undefined, statedAtMs: number, toldFromMs: number): void {
-		const known = this.statements.get(backend);
-		this.statements.set(backend, {
+	private setEntry(backend: number, perSecond: number | undefined, statedAtMs: number, newChangedAtMs: number): void {
+		const known = this.entries.get(backend);
+		this.entries.set(backend, {
 			perSecond,
 			statedAtMs,
-			changedAtMs: known && known.perSecond === perSecond ? known.changedAtMs : toldFromMs,
+			changedAtMs: known && known.perSecond === perSecond ? known.changedAtMs : newChangedAtMs,
 			nextAtMs: known?.nextAtMs ?? Number.NEGATIVE_INFINITY,
-			trials: 0,
-			triedAtMs: Number.NEGATIVE_INFINITY,
+			probes: 0,
+			probedAtMs: Number.NEGATIVE_INFINITY,
 			choice: known?.perSecond === perSecond ? known?.choice : undefined,
 		});
 	}
 
-	private choose(backend: number, statement: Statement, nowMs: number): SenderChoice {
-		if (!statement.choice || nowMs - statement.choice.atMs > choiceKeptMs) {
-			statement.choice = {...this.chooseSenders(backend, Math.floor(statement.perSecond ?? 0) + moreSenders, nowMs), atMs: nowMs};
+	private senderChoice(backend: number, entry: LimitEntry, nowMs: number): SenderChoice {
+		if (!entry.choice || nowMs - entry.choice.atMs > senderChoiceMaxAgeMs) {
+			entry.choice = {...this.chooseSenders(backend, Math.floor(entry.perSecond ?? 0) + extraSenders, nowMs), atMs: nowMs};
 		}
 
-		return statement.choice;
+		return entry.choice;
 	}
 }
 
-/** Whether a limited backend server should get the next request that it may. */
-function isDue({statedAtMs, triedAtMs, trials}: Statement, nowMs: number): boolean {
-	return nowMs - Math.max(statedAtMs, triedAtMs) > unheardMs * (2 ** trials);
+/** Returns whether a limited backend server should get the next request that its limit allows. */
+function isProbeDue({statedAtMs, probedAtMs, probes}: LimitEntry, nowMs: number): boolean {
+	return nowMs - Math.max(statedAtMs, probedAtMs) > probeAfterMs * (2 ** probes);
 }
 
-/** Time between two requests of all daemons together, in milliseconds. */
-function pauseMs(perSecond: number): number {
-	return 1000 / (Math.max(leastPerSecond, perSecond) * usedShare);
+/** Returns the time between two requests of all daemons together, in milliseconds. */
+function requestIntervalMs(perSecond: number): number {
+	return 1000 / (Math.max(minPacedPerSecond, perSecond) * usedLimitShare);
 }
