--- a/src/coordination/__tests__/admission.test.ts
+++ b/src/coordination/__tests__/admission.test.ts
@@ -6,16 +6,16 @@
 describe('Limits', () => {
 	it.each([
 		{
-			name: 'a burst within the limit is admitted', at: [0, 0], releaseEach: true, expected: [true, true],
+			name: 'admits a burst within the limit', at: [0, 0], releaseEach: true, expected: [true, true],
 		},
 		{
-			name: 'beyond the burst is refused for rate', at: [0, 0, 0], releaseEach: true, expected: [true, true, Refusal.Rate],
+			name: 'refuses a request beyond the burst because of the rate', at: [0, 0, 0], releaseEach: true, expected: [true, true, Refusal.Rate],
 		},
 		{
-			name: 'the bucket refills with time', at: [0, 0, 100], releaseEach: true, expected: [true, true, true],
+			name: 'refills the bucket over time', at: [0, 0, 100], releaseEach: true, expected: [true, true, true],
 		},
 		{
-			name: 'requests in flight are capped', at: [0, 200, 400, 600], releaseEach: false, expected: [true, true, true, Refusal.Concurrency],
+			name: 'caps the requests in flight', at: [0, 200, 400, 600], releaseEach: false, expected: [true, true, true, Refusal.Concurrency],
 		},
 	])('$name', ({at, releaseEach, expected}) => {
 		const limits = new Limits();
@@ -34,7 +34,7 @@
 		expect(outcomes).toEqual(expected);
 	});
 
-	it('tells when to come back after a rate refusal', () => {
+	it('returns the time to retry after when it refuses a request because of the rate', () => {
 		const limits = new Limits();
 		limits.admit('desk', limit, 0);
 		limits.admit('desk', limit, 0);
@@ -43,11 +43,11 @@
 	});
 });
 
-describe('a gateway\'s share of a limit', () => {
+describe('shareOfLimit', () => {
 	it.each([
-		{name: 'is all of it alone', gateways: 1, expected: {requestsPerSecond: 12, burst: 6, maxConcurrent: 8}},
-		{name: 'is even among those alive', gateways: 3, expected: {requestsPerSecond: 4, burst: 2, maxConcurrent: 2}},
-		{name: 'admits one request at a time at least', gateways: 24, expected: {requestsPerSecond: 0.5, burst: 1, maxConcurrent: 1}},
+		{name: 'gives a single gateway the whole limit', gateways: 1, expected: {requestsPerSecond: 12, burst: 6, maxConcurrent: 8}},
+		{name: 'divides the limit equally among the gateways alive', gateways: 3, expected: {requestsPerSecond: 4, burst: 2, maxConcurrent: 2}},
+		{name: 'admits at least one request at a time', gateways: 24, expected: {requestsPerSecond: 0.5, burst: 1, maxConcurrent: 1}},
 	])('$name', ({gateways, expected}) => {
 		expect(shareOfLimit({requestsPerSecond: 12, burst: 6, maxConcurrent: 8}, gateways)).toEqual(expected);
 	});
--- a/src/coordination/__tests__/controller.test.ts
+++ b/src/coordination/__tests__/controller.test.ts
@@ -20,10 +20,10 @@
 type GatewayState = {id: string; lease: {holding: boolean; lease?: {holder: string; token: number}}};
 type EngineState = {id: string; powered: boolean; model?: string; orders: Array<{fencingToken: number; atMs: number; accepted: boolean}>};
 
-/** A way to keep the lease's holder from renewing it. */
+/** A fault that keeps the holder of the lease from renewing it. */
 type HolderFault = {
 	name: string;
-	/** The failure domain whose reclaim makes work for the controller. */
+	/** The failure domain that is reclaimed so that the controller has orders to send. */
 	failureDomain: string;
 	stop: (holder: GatewayState) => Promise<void> | void;
 	resume: (holder: GatewayState) => Promise<void> | void;
@@ -58,7 +58,7 @@
 	await stack?.running.stop();
 });
 
-/** The states of the gateways that answer. */
+/** Reads the states of the gateways that answer. */
 async function gatewayStates(): Promise<GatewayState[]> {
 	const states = await Promise.all(stack.gateways.map(async gateway => readState<GatewayState>(gateway.adminUrl).catch(() => undefined)));
 	return states.filter(state => state !== undefined);
@@ -88,21 +88,21 @@
 	return states.map(state => state.orders);
 }
 
-describe('the controller', () => {
-	it('starts what the preset asks for and orders it to load its model', async () => {
+describe('FleetController', () => {
+	it('starts the VMs that the preset specifies and orders them to load their model', async () => {
 		await waitUntil(async () => await servingEngines() === fleet.min);
 		const answer = await receiveStream({url: stack.gateways[0].url, prompt: 'first', maxTokens: 4});
 		expect(answer.done).toBe(true);
 	});
 
-	it('replaces a reclaimed failure domain\'s VMs elsewhere when starts there are refused', async () => {
+	it('replaces the VMs of a reclaimed failure domain in others when starts in it are refused', async () => {
 		await setFaults(stack.cloudUrl, {refuseStarts: ['fd-a']});
 		await requestJson({method: 'POST', url: `${stack.cloudUrl}/admin/reclaim`, payload: {failureDomain: 'fd-a'}});
 		await waitUntil(async () => {
 			const vms = await liveVms();
 			return vms.length >= fleet.min && vms.every(vm => vm.failureDomain !== 'fd-a');
 		});
-		// Once the reclaimed VMs are gone, what serves is what replaced them.
+		// Once the reclaimed VMs are gone, only their replacements serve.
 		await waitUntil(async () => {
 			const [vms, states] = await Promise.all([liveVms(), readEngines()]);
 			return states.filter(state => state.powered).length === vms.length && await servingEngines() >= fleet.min;
@@ -110,7 +110,7 @@
 		await setFaults(stack.cloudUrl, {refuseStarts: []});
 	});
 
-	it('starts a VM once although the answers of its start are lost', async () => {
+	it('starts no more VMs than the maximum when the answers to starts are lost', async () => {
 		const before = await liveVms();
 		await setFaults(stack.cloudUrl, {loseAnswers: true});
 		await requestJson({method: 'DELETE', url: `${stack.cloudUrl}/vms/${before[0].name}`});
@@ -120,8 +120,8 @@
 		expect(after.length).toBeLessThanOrEqual(fleet.max);
 	});
 
-	it('replaces a VM whose engine died without notice', async () => {
-		// The engine processes' order is that of their ports: three of the model, then the slots.
+	it('replaces a VM whose engine was killed', async () => {
+		// Engine processes are ordered by port: the three of the model first, then the spare slots.
 		const names = ['desk-0', 'desk-1', 'desk-2', ...failureDomains.flatMap(domain => [0, 1].map(spare => `slot-${domain}-${spare}`))];
 		const states = await readEngines();
 		const victim = states.findIndex(state => state.powered && state.model === 'desk');
@@ -141,10 +141,10 @@
 	});
 });
 
-describe('two controllers never both give orders', () => {
+describe('FleetController on two gateways', () => {
 	it.each([
 		{
-			name: 'frozen beyond its lease',
+			name: 'that is suspended beyond its lease',
 			failureDomain: 'fd-b',
 			stop(first: GatewayState) {
 				process.kill(pidOf(stack, first.id), 'SIGSTOP');
@@ -154,7 +154,7 @@
 			},
 		},
 		{
-			name: 'turned away by the platform log',
+			name: 'that the platform log refuses',
 			failureDomain: 'fd-c',
 			async stop(first: GatewayState) {
 				await setFaults(stack.logUrl, {refuseClients: [first.id]});
@@ -163,7 +163,7 @@
 				await setFaults(stack.logUrl, {refuseClients: []});
 			},
 		},
-	] as HolderFault[])('a holder $name gives no order after its successor\'s first', async ({failureDomain, stop, resume}) => {
+	] as HolderFault[])('sends no order from a holder $name after the first order of its successor', async ({failureDomain, stop, resume}) => {
 		await waitUntil(async () => await holder() !== undefined);
 		const first = await holder();
 		await stop(first!);
@@ -172,7 +172,7 @@
 			const states = await gatewayStates();
 			return states.some(state => state.lease.holding && state.id !== first!.id);
 		});
-		// Work for the successor, and for the old holder should it think that it still holds the lease.
+		// The reclaim makes orders necessary for the successor, and for the old holder if it believes that it still holds the lease.
 		await requestJson({method: 'POST', url: `${stack.cloudUrl}/admin/reclaim`, payload: {failureDomain}});
 		const states = await gatewayStates();
 		const second = states.find(state => state.lease.holding && state.id !== first!.id);
@@ -196,7 +196,7 @@
 		}
 	});
 
-	it('a holder that stops gracefully gives the lease up at once', async () => {
+	it('hands over the lease at once when the holder stops gracefully', async () => {
 		const first = await holder();
 		process.kill(pidOf(stack, first!.id), 'SIGTERM');
 		await waitUntil(async () => {
--- a/src/coordination/__tests__/fleet-plan.test.ts
+++ b/src/coordination/__tests__/fleet-plan.test.ts
@@ -13,28 +13,28 @@
 describe('planFleet', () => {
 	it.each([
 		{
-			name: 'the cheapest domain alone when nothing must survive', need: {replicas: 4, surviving: 0}, offers: cheap, expected: {d: 4}, cost: 4,
+			name: 'uses only the cheapest failure domain when no replica must survive a reclaim', need: {replicas: 4, surviving: 0}, offers: cheap, expected: {d: 4}, cost: 4,
 		},
 		{
-			name: 'no domain holds more than the rest can bear to lose', need: {replicas: 8, surviving: 6}, offers: cheap, expected: {
+			name: 'gives no failure domain more VMs than may be lost', need: {replicas: 8, surviving: 6}, offers: cheap, expected: {
 				a: 2, b: 2, c: 2, d: 2,
 			}, cost: 20,
 		},
 		{
-			name: 'more reclaimable VMs rather than an on-demand one that costs more', need: {replicas: 4, surviving: 4}, offers: cheap, expected: {
+			name: 'adds reclaimable VMs rather than an on-demand VM that costs more', need: {replicas: 4, surviving: 4}, offers: cheap, expected: {
 				a: 2, b: 2, d: 2,
 			}, cost: 12,
 		},
 		{
-			name: 'on-demand VMs when one domain must not carry it alone', need: {replicas: 2, surviving: 1}, offers: [reclaimable('a', 1)], expected: {a: 1, 'on-demand': 1}, cost: 11,
+			name: 'adds an on-demand VM to a single failure domain', need: {replicas: 2, surviving: 1}, offers: [reclaimable('a', 1)], expected: {a: 1, 'on-demand': 1}, cost: 11,
 		},
 		{
-			name: 'a limited domain gets no more than its limit', need: {replicas: 4, surviving: 2}, offers: [reclaimable('a', 1, 0), reclaimable('b', 2), reclaimable('c', 3)],
+			name: 'gives a limited offer no more VMs than its limit', need: {replicas: 4, surviving: 2}, offers: [reclaimable('a', 1, 0), reclaimable('b', 2), reclaimable('c', 3)],
 			expected: {b: 2, c: 2},
 			cost: 10,
 		},
 		{
-			name: 'nothing needed, nothing bought', need: {replicas: 0, surviving: 0}, offers: cheap, expected: {}, cost: 0,
+			name: 'plans no VM when none is needed', need: {replicas: 0, surviving: 0}, offers: cheap, expected: {}, cost: 0,
 		},
 	])('$name', ({need, offers, expected, cost}) => {
 		const plan = planFleet(need, [...offers, ...onDemand]);
@@ -48,7 +48,7 @@
 		expect(planCost(plan)).toBe(cost);
 	});
 
-	it('takes what there is when the need cannot be met', () => {
+	it('plans all available VMs when the need cannot be met', () => {
 		const plan = planFleet({replicas: 4, surviving: 2}, [reclaimable('a', 1, 1), reclaimable('b', 1, 1)]);
 		expect([...plan.values()]).toEqual([1, 1]);
 	});
--- a/src/coordination/__tests__/follow-limits.test.ts
+++ b/src/coordination/__tests__/follow-limits.test.ts
@@ -3,14 +3,14 @@
 	answerMs, carriedStepMs, type FollowLimits, limitsFor, retryPauseMs,
 } from '../follow-limits.js';
 
-const tellingMs = 500;
-const most: FollowLimits = {waitMs: 1100, relayWaitMs: 1100, carriedMs: 2750};
+const relayIntervalMs = 500;
+const maximums: FollowLimits = {waitMs: 1100, relayWaitMs: 1100, carriedMs: 2750};
 
 describe('limitsFor', () => {
 	it.each([
 		{boundMs: 1500}, {boundMs: 2000}, {boundMs: 3000}, {boundMs: 4000}, {boundMs: 17_000},
-	])('leaves time for a read within $boundMs ms, after a silent connection and after relays that cannot read', ({boundMs}) => {
-		const {waitMs, relayWaitMs, carriedMs} = limitsFor(boundMs, tellingMs, most);
+	])('leaves time for another read within $boundMs ms when a connection stalls or the relays cannot read', ({boundMs}) => {
+		const {waitMs, relayWaitMs, carriedMs} = limitsFor(boundMs, relayIntervalMs, maximums);
 		expect(waitMs + answerMs + retryPauseMs).toBeLessThan(boundMs);
 		expect(carriedMs + carriedStepMs).toBeLessThan(boundMs);
 		expect(relayWaitMs).toBeLessThanOrEqual(waitMs);
@@ -18,22 +18,22 @@
 
 	it.each([
 		{boundMs: 1500}, {boundMs: 2000}, {boundMs: 3000}, {boundMs: 17_000},
-	])('keeps a view within $boundMs ms on a calm day', ({boundMs}) => {
-		expect(2 * limitsFor(boundMs, tellingMs, most).waitMs).toBeLessThan(boundMs);
+	])('keeps the view younger than $boundMs ms while all reads are answered', ({boundMs}) => {
+		expect(2 * limitsFor(boundMs, relayIntervalMs, maximums).waitMs).toBeLessThan(boundMs);
 	});
 
 	it.each([
 		{boundMs: 2000}, {boundMs: 3000}, {boundMs: 4000}, {boundMs: 17_000},
-	])('lets nobody read but relays on a calm day, with a bound of $boundMs ms', ({boundMs}) => {
-		const {relayWaitMs, carriedMs} = limitsFor(boundMs, tellingMs, most);
-		expect((2 * relayWaitMs) + tellingMs).toBeLessThanOrEqual(carriedMs);
+	])('lets only relays read with a bound of $boundMs ms while all reads are answered', ({boundMs}) => {
+		const {relayWaitMs, carriedMs} = limitsFor(boundMs, relayIntervalMs, maximums);
+		expect((2 * relayWaitMs) + relayIntervalMs).toBeLessThanOrEqual(carriedMs);
 	});
 
 	it.each([
-		{boundMs: 17_000, expected: most},
+		{boundMs: 17_000, expected: maximums},
 		{boundMs: 500, expected: {waitMs: 100, relayWaitMs: 100, carriedMs: 100}},
 		{boundMs: 0, expected: {waitMs: 100, relayWaitMs: 100, carriedMs: 0}},
-	])('stays within what other needs allow and what can be done, with a bound of $boundMs ms', ({boundMs, expected}) => {
-		expect(limitsFor(boundMs, tellingMs, most)).toEqual(expected);
+	])('stays within the other requirements and the shortest wait with a bound of $boundMs ms', ({boundMs, expected}) => {
+		expect(limitsFor(boundMs, relayIntervalMs, maximums)).toEqual(expected);
 	});
 });
--- a/src/coordination/__tests__/pool.test.ts
+++ b/src/coordination/__tests__/pool.test.ts
@@ -2,7 +2,7 @@
 import {DutyResult} from '../../protocol/platform.js';
 import {type Scaling} from '../../protocol/serving.js';
 import {isOrderDue} from '../duty-runner.js';
-import {carriedInFlight, PoolDemand} from '../pool-demand.js';
+import {targetInFlight, PoolDemand} from '../pool-demand.js';
 import {type DomainState, planPool} from '../pool-plan.js';
 
 const scaling: Scaling = {
@@ -18,7 +18,7 @@
 	return total;
 };
 
-/** States in which reclaimable VMs serve as given, and on-demand VMs were ordered. */
+/** Returns domain states with the given numbers of serving and expected reclaimable VMs and ordered on-demand VMs. */
 function states(serving: Record<string, number>, expected: Record<string, number> = serving, onDemand: Record<string, number> = {}): Map<string, DomainState> {
 	return new Map(['a', 'b', 'c', 'd'].map(name => [name, {serving: serving[name] ?? 0, expected: expected[name] ?? 0, onDemand: onDemand[name] ?? 0}]));
 }
@@ -26,25 +26,25 @@
 describe('planPool', () => {
 	it.each([
 		{
-			name: 'a calm pool has no on-demand VM', states: states({
+			name: 'plans no on-demand VM while all reclaimable VMs serve', states: states({
 				a: 2, b: 2, c: 2, d: 2,
 			}), onDemand: 0,
 		},
-		{name: 'two failure domains lost: one more must not take too many', states: states({a: 2, b: 2}), onDemand: 1},
-		{name: 'three lost: on-demand VMs stand in', states: states({a: 2}), onDemand: 3},
-		{name: 'none to be had: the demand is met on demand', states: states({}), onDemand: 4},
+		{name: 'plans for the loss of a third failure domain after two are lost', states: states({a: 2, b: 2}), onDemand: 1},
+		{name: 'replaces the VMs of three lost failure domains by on-demand VMs', states: states({a: 2}), onDemand: 3},
+		{name: 'meets the demand with on-demand VMs when no reclaimable VM is available', states: states({}), onDemand: 4},
 		{
-			name: 'promised ones are waited for', states: states({}, {
+			name: 'waits for reclaimable VMs that are booting', states: states({}, {
 				a: 2, b: 2, c: 2, d: 2,
 			}), onDemand: 0,
 		},
 		{
-			name: 'stand-ins stay until what replaces them serves', states: states({}, {
+			name: 'keeps on-demand VMs until the reclaimable VMs that replace them serve', states: states({}, {
 				a: 2, b: 2, c: 2, d: 2,
 			}, {b: 2, d: 2}), onDemand: 4,
 		},
 		{
-			name: 'stand-ins go when what replaces them serves', states: states({
+			name: 'removes on-demand VMs when the reclaimable VMs that replace them serve', states: states({
 				a: 2, b: 2, c: 2, d: 2,
 			}, undefined, {b: 2, d: 2}), onDemand: 0,
 		},
@@ -54,7 +54,7 @@
 		expect(pools.every(pool => pool.onDemand + pool.reclaimable >= scaling.min)).toBe(true);
 	});
 
-	it('keeps each failure domain within its limit, cheapest first', () => {
+	it('keeps each failure domain within its maximum and lists the cheapest first', () => {
 		const pools = planPool({...scaling, max: 2}, {replicas: 7, surviving: 3, spare: 0}, states({}));
 		expect(pools.map(pool => pool.onDemand)).toEqual([2, 2, 2, 1]);
 		expect(pools.every(pool => pool.onDemand + pool.reclaimable <= 2)).toBe(true);
@@ -74,10 +74,10 @@
 	});
 });
 
-describe('PoolDemand before it knows the traffic', () => {
+describe('PoolDemand without traffic so far', () => {
 	it.each([
-		{name: 'keeps the pool it found', present: 90, expected: 90},
-		{name: 'a small one too', present: 8, expected: 8},
+		{name: 'keeps a large pool', present: 90, expected: 90},
+		{name: 'keeps a small pool', present: 8, expected: 8},
 	])('$name', ({present, expected}) => {
 		const demand = new PoolDemand(present, 0);
 		demand.note(0, 20_000);
@@ -86,7 +86,7 @@
 		expect(replicas + spare).toBeLessThanOrEqual(expected);
 	});
 
-	it('follows the traffic once there is any', () => {
+	it('follows the traffic once there is some', () => {
 		const demand = new PoolDemand(90, 0);
 		demand.note(0, 15_000);
 		demand.note(20, 16_000);
@@ -94,15 +94,15 @@
 		expect(demand.need().replicas).toBeLessThan(25);
 	});
 
-	it('has room for the loss of a failure domain of four', () => {
+	it('plans enough spare replicas for the loss of one failure domain of four', () => {
 		const demand = new PoolDemand(0, 0);
 		demand.note(40, 0);
 		const {replicas, spare} = demand.need();
 		expect((replicas + spare) * 0.75).toBeGreaterThanOrEqual(replicas);
 	});
 
-	it.each([{slots: 64, expected: 12}, {slots: 16, expected: 8}])('a replica of $slots slots carries $expected requests', ({slots, expected}) => {
-		expect(carriedInFlight(slots)).toBe(expected);
+	it.each([{slots: 64, expected: 12}, {slots: 16, expected: 8}])('plans $expected requests in flight for a replica with $slots slots', ({slots, expected}) => {
+		expect(targetInFlight(slots)).toBe(expected);
 	});
 });
 
@@ -110,44 +110,44 @@
 	const at = {bootMs: 4000, nowMs: 10_000, token: 5};
 	it.each([
 		{
-			name: 'first order', wanted: 2, present: 2, last: undefined, expected: true,
+			name: 'before the first order', wanted: 2, present: 2, last: undefined, expected: true,
 		},
 		{
-			name: 'same count, pool as ordered', wanted: 2, present: 2, last: {
+			name: 'when the pool is as ordered', wanted: 2, present: 2, last: {
 				count: 2, atMs: 0, result: DutyResult.Accepted, token: 5,
 			}, expected: false,
 		},
 		{
-			name: 'another count', wanted: 3, present: 2, last: {
+			name: 'when another count is wanted', wanted: 3, present: 2, last: {
 				count: 2, atMs: 9000, result: DutyResult.Accepted, token: 5,
 			}, expected: true,
 		},
 		{
-			name: 'still booting', wanted: 2, present: 0, last: {
+			name: 'while the ordered VMs may still be booting', wanted: 2, present: 0, last: {
 				count: 2, atMs: 6000, result: DutyResult.Accepted, token: 5,
 			}, expected: false,
 		},
 		{
-			name: 'never came', wanted: 2, present: 0, last: {
+			name: 'when the ordered VMs did not start in time', wanted: 2, present: 0, last: {
 				count: 2, atMs: 1000, result: DutyResult.Accepted, token: 5,
 			}, expected: true,
 		},
 		{
-			name: 'just refused', wanted: 2, present: 0, last: {
+			name: 'just after a refusal', wanted: 2, present: 0, last: {
 				count: 2, atMs: 9000, result: DutyResult.Refused, token: 5,
 			}, expected: false,
 		},
 		{
-			name: 'refused a while ago', wanted: 2, present: 0, last: {
+			name: 'some time after a refusal', wanted: 2, present: 0, last: {
 				count: 2, atMs: 5000, result: DutyResult.Refused, token: 5,
 			}, expected: true,
 		},
 		{
-			name: 'no answer a while ago', wanted: 2, present: 2, last: {
+			name: 'some time after an order without an answer', wanted: 2, present: 2, last: {
 				count: 2, atMs: 5000, result: DutyResult.Unknown, token: 5,
 			}, expected: true,
 		},
-	])('$name: $expected', ({wanted, present, last, expected}) => {
+	])('is $expected $name', ({wanted, present, last, expected}) => {
 		expect(isOrderDue(wanted, present, last, at)).toBe(expected);
 	});
 });
--- a/src/coordination/__tests__/router.test.ts
+++ b/src/coordination/__tests__/router.test.ts
@@ -12,7 +12,7 @@
 });
 const engines = ['a', 'b', 'c'].map(id => engine(id));
 const prompt = 'summarise the offtake contract for lot seven';
-const affine = engines.toSorted((x, y) => affinityScore(prompt, y.id) - affinityScore(prompt, x.id))[0].id;
+const preferred = engines.toSorted((x, y) => affinityScore(prompt, y.id) - affinityScore(prompt, x.id))[0].id;
 const view = (queued: number, ageMs = 0, healthy = true): LoadView => ({
 	report: {
 		id: 'any', model: 'desk', role: EngineRole.Serving, running: queued, waiting: 0, maxBatch: 32, cacheBlocksUsed: 0, cacheBlocks: 1, measuredAtMs: nowMs - ageMs,
@@ -23,35 +23,35 @@
 describe('chooseBackend', () => {
 	it.each([
 		{
-			name: 'equal load goes to the prefix-affine engine', loads: loadsWith({}), excluded: [], slack: 4, expected: affine,
+			name: 'chooses the engine with prefix affinity when loads are equal', loads: loadsWith({}), excluded: [], slack: 4, expected: preferred,
 		},
 		{
-			name: 'an affine engine within the slack keeps the request', loads: loadsWith({[affine]: view(4)}), excluded: [], slack: 4, expected: affine,
+			name: 'chooses the engine with affinity while its load is within the slack', loads: loadsWith({[preferred]: view(4)}), excluded: [], slack: 4, expected: preferred,
 		},
 		{
-			name: 'an affine engine beyond the slack loses it', loads: loadsWith({[affine]: view(9)}), excluded: [], slack: 4, expected: 'not-affine',
+			name: 'chooses another engine when the load exceeds the slack', loads: loadsWith({[preferred]: view(9)}), excluded: [], slack: 4, expected: 'other',
 		},
 		{
-			name: 'a stale report is not trusted', loads: loadsWith({[affine]: view(50, 10_000)}), excluded: [], slack: 4, expected: affine,
+			name: 'ignores a stale load report', loads: loadsWith({[preferred]: view(50, 10_000)}), excluded: [], slack: 4, expected: preferred,
 		},
 		{
-			name: 'an unhealthy engine gets nothing', loads: loadsWith({[affine]: view(0, 0, false)}), excluded: [], slack: 4, expected: 'not-affine',
+			name: 'avoids an unhealthy engine', loads: loadsWith({[preferred]: view(0, 0, false)}), excluded: [], slack: 4, expected: 'other',
 		},
 		{
-			name: 'an excluded engine gets nothing', loads: loadsWith({}), excluded: [affine], slack: 4, expected: 'not-affine',
+			name: 'avoids an excluded engine', loads: loadsWith({}), excluded: [preferred], slack: 4, expected: 'other',
 		},
 	])('$name', ({loads, excluded, slack, expected}) => {
 		const choice = chooseBackend({
 			candidates: engines, loads, excluded: new Set(excluded), prompt, affinitySlack: slack, nowMs,
 		});
-		if (expected === 'not-affine') {
-			expect(choice.id).not.toBe(affine);
+		if (expected === 'other') {
+			expect(choice.id).not.toBe(preferred);
 		} else {
 			expect(choice.id).toBe(expected);
 		}
 	});
 
-	it('prompts that share a prefix go to the same engine', () => {
+	it('chooses the same engine for prompts that share a prefix', () => {
 		const prefix = Array.from({length: affinityTokens}, (_, index) => `word${index}`).join(' ');
 		const choices = new Set(['tail one', 'another tail', 'third'].map(tail => chooseBackend({
 			candidates: engines, loads: loadsWith({}), excluded: new Set(), prompt: `${prefix} ${tail}`, affinitySlack: 4, nowMs,
--- a/src/coordination/backoff.ts
+++ b/src/coordination/backoff.ts
@@ -1,37 +1,36 @@
-/**
- * Doubling pauses between tries of something that was refused, per subject.
- */
+/** Exponential backoff between attempts that were refused, kept for each key. */
 
-/** The shortest and longest pause, in milliseconds. */
+/** The first and the longest pause, in milliseconds; each pause in between is twice the one before. */
 export type BackoffBounds = {firstMs: number; longestMs: number};
 
-type Wait = {pauseMs: number; untilMs: number};
+/** The length of a pause and its end, in milliseconds; part of state dumps. */
+type Pause = {pauseMs: number; untilMs: number};
 
-/** The pauses of a set of subjects. */
+/** Tracks the pauses of a set of keys. */
 export class Backoff {
-	private readonly waits = new Map<string, Wait>();
+	private readonly pauses = new Map<string, Pause>();
 
 	constructor(private readonly bounds: BackoffBounds) {}
 
-	/** Whether a subject may be tried at `nowMs`. */
-	mayTry(subject: string, nowMs: number): boolean {
-		return (this.waits.get(subject)?.untilMs ?? 0) <= nowMs;
+	/** Returns whether a key may be tried at `nowMs`. */
+	canTry(key: string, nowMs: number): boolean {
+		return (this.pauses.get(key)?.untilMs ?? 0) <= nowMs;
 	}
 
-	/** Notes a refusal at `nowMs`; the next pause is twice as long. */
-	noteRefusal(subject: string, nowMs: number): void {
-		const last = this.waits.get(subject);
+	/** Records a refusal at `nowMs` and starts a pause, twice as long as the last one. */
+	noteRefusal(key: string, nowMs: number): void {
+		const last = this.pauses.get(key);
 		const pauseMs = last ? Math.min(this.bounds.longestMs, last.pauseMs * 2) : this.bounds.firstMs;
-		this.waits.set(subject, {pauseMs, untilMs: nowMs + pauseMs});
+		this.pauses.set(key, {pauseMs, untilMs: nowMs + pauseMs});
 	}
 
-	/** Notes a success: the next refusal starts from the shortest pause. */
-	noteSuccess(subject: string): void {
-		this.waits.delete(subject);
+	/** Records a success, so that the next refusal starts with the first pause again. */
+	noteSuccess(key: string): void {
+		this.pauses.delete(key);
 	}
 
-	/** Pauses in force, for state dumps. */
-	toJson(): Record<string, Wait> {
-		return Object.fromEntries(this.waits);
+	/** Returns the pauses by key for state dumps. */
+	toJson(): Record<string, Pause> {
+		return Object.fromEntries(this.pauses);
 	}
 }
--- a/src/coordination/fleet-controller.ts
+++ b/src/coordination/fleet-controller.ts
@@ -1,13 +1,12 @@
 /**
- * The controller role: whichever gateway holds the lease compares, pass by pass, the
- * fleet the preset in force asks for with the VMs there are, and orders the difference.
- * It keeps nothing between holders: a new holder reads the cloud API and the engines'
- * reports and goes on.
+ * The fleet controller: the gateway that holds the lease repeatedly reconciles the VMs that
+ * exist with the fleet that the preset in force specifies. No state passes from one holder to
+ * the next: a new holder reads the cloud API and the engines' load reports.
  *
- * Each pass, for each model of the preset's `fleet`: demand gives the replicas needed;
- * the planner gives the cheapest VMs that keep enough through a reclaim; missing VMs are
- * started, surplus ones drained and then stopped, and VMs without a model are ordered to
- * load one. A failure domain that refuses a start is left out for a doubling pause.
+ * In each pass, for each model of the preset's `fleet`, the controller computes the replicas
+ * needed from the demand, and plans the cheapest VMs that leave enough after a reclaim. It
+ * starts missing VMs, drains and then stops surplus ones, and orders VMs without a model to
+ * load one. A failure domain that refuses a start is skipped with exponential backoff.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {readClocks} from '../clock.js';
@@ -30,61 +29,64 @@
 
 const log = createLogger('controller');
 
-/** Pauses after refused starts in one failure domain; doubling as in the outbox reference. */
-const startBackoff = {firstMs: 1000, longestMs: 60_000};
-/** How long the highest demand seen keeps replicas, in milliseconds. */
+/** Pauses after refused starts of one kind of VM in one failure domain. */
+const startBackoffBounds = {firstMs: 1000, longestMs: 60_000};
+/** Window whose highest demand sets the number of replicas, in milliseconds. */
 export const demandWindowMs = 60_000;
-/** Share of the VMs beyond which silence is taken for a fault of the holder's own network. */
-const mostSilentShare = 0.5;
-/** How long an order to load a model is given before it is repeated, in milliseconds. */
-const orderRepeatMs = 5000;
+/** Largest share of VMs that may be silent at once; beyond it, the cause is assumed to be the gateway's own network. */
+const maxSilentShare = 0.5;
+/** Time after which the same order is sent to an engine again, in milliseconds. */
+const orderRepeatIntervalMs = 5000;
 
-/** What the controller needs from the rest of the gateway. */
+/** The dependencies and settings of the controller. */
 export type ControllerOptions = {
 	lease: LeaseKeeper;
 	config: ConfigTable;
 	platformLog: PlatformLog;
 	loads: LoadTracker;
-	/** Absent when the gateway knows no cloud API: then only snapshots are written. */
+	/** URL of the cloud API; without one, the controller only writes snapshots. */
 	cloudUrl?: string;
+	/** Retention of the platform log, in milliseconds. */
 	retentionMs: number;
+	/** Pause between two passes, in milliseconds. */
 	passMs: number;
-	/** How long an engine may be silent before its VM is stopped and replaced. */
+	/** Time without a new report after which an engine's VM is stopped and replaced, in milliseconds. */
 	silentMs: number;
 };
 
-type Order = {order: EngineOrder; atMs: number};
+/** The last order sent to an engine. */
+type SentOrder = {order: EngineOrder; atMs: number};
 
-/** The controller of one gateway; it acts only while the gateway holds the lease. */
+/** Controls the fleet while its gateway holds the lease. */
 export class FleetController {
 	readonly counters = {
 		passes: 0, started: 0, refused: 0, drained: 0, stopped: 0, orders: 0,
 	};
 
-	private readonly startBackoff = new Backoff(startBackoff);
+	private readonly startBackoff = new Backoff(startBackoffBounds);
 	private readonly demand = new DemandWindow(demandWindowMs);
-	private readonly lastOrders = new Map<string, Order>();
+	private readonly lastOrders = new Map<string, SentOrder>();
 	private readonly cloud: CloudClient | undefined;
-	/** The model each VM was started for, until its engine reports one. */
-	private readonly assigned = new Map<string, string>();
-	/** The last report seen of each live VM, and when it was new, by the monotonic clock. */
-	private readonly lastHeard = new Map<string, {measuredAtMs: number | undefined; atMs: number}>();
-	private starts = 0;
+	/** The model that each VM was started for, which counts until its engine reports one. */
+	private readonly assignedModels = new Map<string, string>();
+	/** The last report of each live VM, and when it was first seen on the monotonic clock. */
+	private readonly lastReports = new Map<string, {measuredAtMs: number | undefined; atMs: number}>();
+	private startCount = 0;
 
 	constructor(private readonly options: ControllerOptions) {
-		this.cloud = options.cloudUrl === undefined ? undefined : new CloudClient(options.cloudUrl, () => this.mayAct());
+		this.cloud = options.cloudUrl === undefined ? undefined : new CloudClient(options.cloudUrl, () => this.holdsLease());
 	}
 
-	/** Makes a pass every `passMs` while this gateway holds the lease, until the signal aborts. */
+	/** Runs passes, `passMs` apart, while this gateway holds the lease, until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		let wasHolding = false;
 		while (!signal.aborted) {
-			const isHolding = this.mayAct();
+			const isHolding = this.holdsLease();
 			if (isHolding && !wasHolding) {
 				log.info('acting as controller.', {token: this.options.lease.tokenAt(readClocks())});
-				this.assigned.clear();
+				this.assignedModels.clear();
 				this.lastOrders.clear();
-				this.lastHeard.clear();
+				this.lastReports.clear();
 			}
 
 			wasHolding = isHolding;
@@ -98,12 +100,12 @@
 		}
 	}
 
-	/** Counters and pauses for state dumps. */
+	/** Returns the counters and the backoff of starts for state dumps. */
 	toJson(): Record<string, unknown> {
 		return {...this.counters, startBackoff: this.startBackoff.toJson()};
 	}
 
-	private mayAct(): boolean {
+	private holdsLease(): boolean {
 		return this.options.lease.tokenAt(readClocks()) !== undefined;
 	}
 
@@ -118,27 +120,27 @@
 
 			const fleet = config.activePreset?.fleet;
 			if (this.cloud && fleet) {
-				await this.keepFleet(this.cloud, fleet, signal);
+				await this.reconcileFleet(this.cloud, fleet, signal);
 			}
 		} catch (error) {
-			log.warn('pass failed, the next one goes on.', {error: String(error)});
+			log.warn('pass failed; trying again in the next one.', {error: String(error)});
 		}
 	}
 
-	private async keepFleet(cloud: CloudClient, fleet: Record<string, ModelFleet>, signal: AbortSignal): Promise<void> {
+	private async reconcileFleet(cloud: CloudClient, fleet: Record<string, ModelFleet>, signal: AbortSignal): Promise<void> {
 		const [vms, prices] = await Promise.all([cloud.listVms(signal), cloud.prices(signal)]);
 		this.forgetGone(vms);
 		const started = vms.filter(vm => vm.state === VmState.Live || vm.state === VmState.Booting);
-		const silent = this.silentVms(started, performance.now());
+		const silent = this.findSilentVms(started, performance.now());
 		await this.stopSilent(cloud, silent);
 		const staying = started.filter(vm => !silent.has(vm));
-		this.assignUnclaimed(staying, fleet);
+		this.assignModels(staying, fleet);
 		for (const [model, wanted] of Object.entries(fleet)) {
 			const replicas = staying.filter(vm => this.modelOf(vm) === model);
 			const serving = replicas.filter(vm => !this.isDraining(vm));
-			const plan = planFleet(this.need(model, wanted, serving, Date.now()), this.offersOf(prices, wanted, serving));
+			const plan = planFleet(this.needOf(model, wanted, serving, Date.now()), this.availableOffers(prices, wanted, serving));
 			// eslint-disable-next-line no-await-in-loop
-			await this.reconcile(cloud, model, plan, serving);
+			await this.reconcileModel(cloud, model, plan, serving);
 			// eslint-disable-next-line no-await-in-loop
 			await this.stopDrained(cloud, replicas);
 			// eslint-disable-next-line no-await-in-loop
@@ -146,21 +148,21 @@
 		}
 	}
 
-	/** VMs whose engine has not reported for long; none while that is most of them. */
-	private silentVms(vms: VmEntry[], nowMs: number): Set<VmEntry> {
+	/** Returns the VMs whose engine has not reported for `silentMs`; none while most VMs are silent. */
+	private findSilentVms(vms: VmEntry[], nowMs: number): Set<VmEntry> {
 		const silent = new Set<VmEntry>();
 		for (const vm of vms.filter(vm => vm.state === VmState.Live)) {
 			const measuredAtMs = this.reportOf(vm)?.measuredAtMs;
-			const last = this.lastHeard.get(vm.name);
+			const last = this.lastReports.get(vm.name);
 			if (!last || last.measuredAtMs !== measuredAtMs) {
-				this.lastHeard.set(vm.name, {measuredAtMs, atMs: nowMs});
+				this.lastReports.set(vm.name, {measuredAtMs, atMs: nowMs});
 			} else if (nowMs - last.atMs > this.options.silentMs) {
 				silent.add(vm);
 			}
 		}
 
-		if (silent.size > Math.max(1, vms.length * mostSilentShare)) {
-			log.warn('most engines are silent, taking it for a fault of this gateway\'s network.', {silent: silent.size, vms: vms.length});
+		if (silent.size > Math.max(1, vms.length * maxSilentShare)) {
+			log.warn('most engines are silent; assuming a network fault of this gateway.', {silent: silent.size, vms: vms.length});
 			return new Set();
 		}
 
@@ -169,8 +171,8 @@
 
 	private async stopSilent(cloud: CloudClient, silent: Set<VmEntry>): Promise<void> {
 		for (const vm of silent) {
-			if (this.mayAct()) {
-				log.warn('engine silent, stopping its VM.', {vm: vm.name, silentMs: this.options.silentMs});
+			if (this.holdsLease()) {
+				log.warn('engine is silent; stopping its VM.', {vm: vm.name, silentMs: this.options.silentMs});
 				// eslint-disable-next-line no-await-in-loop
 				await cloud.stopVm(vm.name);
 				this.counters.stopped++;
@@ -178,7 +180,7 @@
 		}
 	}
 
-	private need(model: string, wanted: ModelFleet, serving: VmEntry[], nowMs: number): {replicas: number; surviving: number} {
+	private needOf(model: string, wanted: ModelFleet, serving: VmEntry[], nowMs: number): {replicas: number; surviving: number} {
 		let inFlight = 0;
 		for (const vm of serving) {
 			const report = this.reportOf(vm);
@@ -191,17 +193,17 @@
 		return {replicas, surviving: Math.ceil(replicas * wanted.survivingShare)};
 	}
 
-	/** What may be had now: an offer refused a moment ago is limited to the VMs already there. */
-	private offersOf(prices: Price[], wanted: ModelFleet, serving: VmEntry[]): Offer[] {
+	/** Returns the offers for a model; one that is in backoff after a refused start is limited to the VMs that it already has. */
+	private availableOffers(prices: Price[], wanted: ModelFleet, serving: VmEntry[]): Offer[] {
 		const nowMs = Date.now();
 		return prices.filter(price => price.machineClass === wanted.machineClass).map(price => {
 			const have = serving.filter(vm => offerKey(vm) === offerKey(price)).length;
-			return this.startBackoff.mayTry(offerKey(price), nowMs) ? price : {...price, limit: have};
+			return this.startBackoff.canTry(offerKey(price), nowMs) ? price : {...price, limit: have};
 		});
 	}
 
-	/** Starts what the plan has and the fleet lacks; drains the rest once nothing is lacking. */
-	private async reconcile(cloud: CloudClient, model: string, plan: FleetPlan, serving: VmEntry[]): Promise<void> {
+	/** Starts the planned VMs that are missing; drains surplus VMs once none is missing and all serve the model. */
+	private async reconcileModel(cloud: CloudClient, model: string, plan: FleetPlan, serving: VmEntry[]): Promise<void> {
 		const surplus = new Set(serving);
 		let missing = 0;
 		for (const [offer, count] of plan) {
@@ -212,37 +214,37 @@
 
 			missing += count - have.length;
 			// eslint-disable-next-line no-await-in-loop
-			await this.start(cloud, model, offer, count - have.length);
+			await this.startVms(cloud, model, offer, count - have.length);
 		}
 
 		const isSettled = missing === 0 && serving.every(vm => this.reportOf(vm)?.model === model);
 		for (const vm of isSettled ? surplus : []) {
 			// eslint-disable-next-line no-await-in-loop
-			await this.order(vm, {kind: OrderKind.ChangeRole, role: EngineRole.Draining});
+			await this.sendOrderOnce(vm, {kind: OrderKind.ChangeRole, role: EngineRole.Draining});
 			this.counters.drained++;
 		}
 	}
 
-	private async start(cloud: CloudClient, model: string, offer: Offer, count: number): Promise<void> {
+	private async startVms(cloud: CloudClient, model: string, offer: Offer, count: number): Promise<void> {
 		const key = offerKey(offer);
-		for (let index = 0; index < count && this.mayAct() && this.startBackoff.mayTry(key, Date.now()); index++) {
+		for (let index = 0; index < count && this.holdsLease() && this.startBackoff.canTry(key, Date.now()); index++) {
 			const {failureDomain, machineClass, reclaimable} = offer;
 			try {
-				// eslint-disable-next-line no-await-in-loop -- a refusal ends the series.
+				// eslint-disable-next-line no-await-in-loop -- a refusal ends the loop.
 				const vm = await cloud.startVm({
-					requestId: `${this.options.lease.tokenAt(readClocks()) ?? 'none'}-${this.starts++}`, failureDomain, machineClass, reclaimable,
+					requestId: `${this.options.lease.tokenAt(readClocks()) ?? 'none'}-${this.startCount++}`, failureDomain, machineClass, reclaimable,
 				});
-				this.assigned.set(vm.name, model);
+				this.assignedModels.set(vm.name, model);
 				this.startBackoff.noteSuccess(key);
 				this.counters.started++;
 				log.info('VM started.', {
 					vm: vm.name, model, failureDomain, reclaimable,
 				});
 			} catch (error) {
-				// A lost answer counts too: the next pass finds the VM in the cloud's list.
+				// A lost answer starts the backoff too; if the VM was started, the next pass finds it in the cloud's list.
 				this.startBackoff.noteRefusal(key, Date.now());
 				this.counters.refused++;
-				log.warn(error instanceof StartRefusedError ? 'start refused.' : 'start unanswered.', {failureDomain, reclaimable, error: String(error)});
+				log.warn(error instanceof StartRefusedError ? 'VM start refused.' : 'no answer to a VM start.', {failureDomain, reclaimable, error: String(error)});
 			}
 		}
 	}
@@ -251,7 +253,7 @@
 		for (const vm of replicas) {
 			const report = this.reportOf(vm);
 			const isEmpty = report?.role === EngineRole.Draining && report.running === 0 && report.waiting === 0;
-			if (isEmpty && this.mayAct()) {
+			if (isEmpty && this.holdsLease()) {
 				// eslint-disable-next-line no-await-in-loop
 				await cloud.stopVm(vm.name);
 				this.counters.stopped++;
@@ -264,14 +266,14 @@
 		const empty = serving.filter(vm => vm.state === VmState.Live && this.reportOf(vm) !== undefined && this.reportOf(vm)!.model === undefined);
 		for (const vm of empty) {
 			// eslint-disable-next-line no-await-in-loop
-			await this.order(vm, {kind: OrderKind.LoadModel, model});
+			await this.sendOrderOnce(vm, {kind: OrderKind.LoadModel, model});
 		}
 	}
 
-	/** Gives an engine an order, unless it got the same one a moment ago. */
-	private async order(vm: VmEntry, order: Omit<EngineOrder, 'fencingToken'>): Promise<void> {
+	/** Sends an order to an engine, unless the same one was sent a moment ago or the lease is lost. */
+	private async sendOrderOnce(vm: VmEntry, order: Omit<EngineOrder, 'fencingToken'>): Promise<void> {
 		const last = this.lastOrders.get(vm.name);
-		const isRepeat = last?.order.kind === order.kind && last.order.model === order.model && Date.now() - last.atMs < orderRepeatMs;
+		const isRepeat = last?.order.kind === order.kind && last.order.model === order.model && Date.now() - last.atMs < orderRepeatIntervalMs;
 		const fencingToken = this.options.lease.tokenAt(readClocks());
 		if (isRepeat || fencingToken === undefined) {
 			return;
@@ -282,12 +284,12 @@
 		this.counters.orders++;
 		try {
 			const status = await sendOrder(vm.url, fenced, () => this.options.lease.tokenAt(readClocks()) === fencingToken);
-			log.info('order given.', {
+			log.info('order sent.', {
 				vm: vm.name, kind: order.kind, model: order.model, token: fencingToken, status,
 			});
 		} catch (error) {
-			// One engine out of reach must not keep the others from their orders.
-			log.warn('order unanswered.', {vm: vm.name, kind: order.kind, error: String(error)});
+			// An unreachable engine must not keep the others from getting their orders.
+			log.warn('no answer to an order.', {vm: vm.name, kind: order.kind, error: String(error)});
 		}
 	}
 
@@ -297,29 +299,29 @@
 	}
 
 	private modelOf(vm: VmEntry): string | undefined {
-		return this.reportOf(vm)?.model ?? this.assigned.get(vm.name);
+		return this.reportOf(vm)?.model ?? this.assignedModels.get(vm.name);
 	}
 
 	private isDraining(vm: VmEntry): boolean {
 		return this.options.config.drained.has(vm.name) || this.reportOf(vm)?.role === EngineRole.Draining || this.lastOrders.get(vm.name)?.order.role === EngineRole.Draining;
 	}
 
-	/** VMs that an earlier holder started and that have no model yet go to the models with the fewest. */
-	private assignUnclaimed(vms: VmEntry[], fleet: Record<string, ModelFleet>): void {
+	/** Assigns VMs without a model, which an earlier holder of the lease started, to the models that lack the most replicas. */
+	private assignModels(vms: VmEntry[], fleet: Record<string, ModelFleet>): void {
 		for (const vm of vms) {
 			const isUnclaimed = this.modelOf(vm) === undefined && (vm.state === VmState.Booting || this.reportOf(vm) !== undefined);
 			if (isUnclaimed) {
 				const shortest = Object.keys(fleet)
 					.map(model => ({model, lacking: fleet[model].min - vms.filter(other => this.modelOf(other) === model).length}))
 					.toSorted((a, b) => b.lacking - a.lacking);
-				this.assigned.set(vm.name, shortest[0].model);
+				this.assignedModels.set(vm.name, shortest[0].model);
 			}
 		}
 	}
 
 	private forgetGone(vms: VmEntry[]): void {
 		const names = new Set(vms.map(vm => vm.name));
-		for (const map of [this.assigned, this.lastOrders, this.lastHeard]) {
+		for (const map of [this.assignedModels, this.lastOrders, this.lastReports]) {
 			for (const name of map.keys()) {
 				if (!names.has(name)) {
 					map.delete(name);
--- a/src/coordination/follow-limits.ts
+++ b/src/coordination/follow-limits.ts
@@ -1,58 +1,59 @@
 /**
- * How long reads of the store may wait, and how long a daemon may go by its relays' word.
- * Both follow from the tightest bound that a view serves: a change is in force within it
- * also where a connection goes silent under the read that waits for the change, and where
- * the relays can no longer read.
+ * How long reads of a topic of the store may wait, and up to which age a daemon may use what
+ * its relays report of the topic instead of reading. Both follow from the tightest bound that
+ * the view of the topic must meet: a change comes into force within the bound even if the
+ * connection stalls during the read that waits for the change, or if the relays can no longer
+ * read the store.
  */
 
-/** Time that the answer to a waiting read may take beyond the wait, in milliseconds: an answer takes 4 ms, and 250 of a store that is sixty times slower. */
+/** Timeout for the answer to a waiting read beyond the wait, in milliseconds: an answer takes 4 ms, and 250 ms from a store that is sixty times slower. */
 export const answerMs = 500;
-/** The same for a read that does not wait, in milliseconds. */
+/** Timeout for the answer to a read that does not wait, in milliseconds. */
 export const doubtAnswerMs = 900;
-/** The same after several failures, in milliseconds: one sent just before the store answers again delays the next by no more than this. */
+/** Timeout for the answer to a read that does not wait after several failures, in milliseconds: a read sent just before the store recovers delays the next one by no more than this. */
 export const mostAnswerMs = 1800;
-/** Longest pause after a failed read, in milliseconds; it doubles with each failure in a row. */
+/** Longest delay before the retry of a read after one failure, in milliseconds; it doubles with each failure in a row. */
 export const retryPauseMs = 200;
-/** Longest pause after any number of failures, in milliseconds: a store that turns daemons away is not made busier by them, and callers wait this long at most once it answers again. */
-const longestPauseMs = 800;
-/** How often a daemon that is told by relays looks whether it still is, in milliseconds. */
+/** Longest delay before a retry after any number of failures, in milliseconds: retries must not add load to a store that refuses requests, and callers wait at most this long once it answers again. */
+const maxRetryDelayMs = 800;
+/** Interval at which a daemon that relies on its relays checks whether their reports are still recent enough, in milliseconds. */
 export const carriedStepMs = 100;
-/** Time kept for the read that brings the change, in milliseconds: a new connection whose first packet is lost. */
-const lastReadMs = 300;
-/** Shortest wait of a read, in milliseconds, so that a bound too tight to keep does not make a daemon read without pause. */
-const shortestWaitMs = 100;
+/** Time reserved for the read that returns the change, in milliseconds: enough for a new connection whose first packet is lost. */
+const finalReadMs = 300;
+/** Shortest wait of a read, in milliseconds, so that a bound that is too tight to meet does not make a daemon read continuously. */
+const minWaitMs = 100;
 
 /**
- * The pause before the next try of a read.
+ * Returns the delay before the retry of a read, in milliseconds: exponential backoff with jitter.
  *
  * @param failedInRow Failures since the last answer, 1 or more.
- * @param draw Drawn evenly from 0 to 1, so that daemons do not return in step.
+ * @param draw A uniform random number from 0 to 1, so that daemons do not retry in step.
  */
 export function pauseAfter(failedInRow: number, draw: number): number {
-	return Math.min(longestPauseMs, retryPauseMs * (2 ** (failedInRow - 1))) * (0.5 + (draw / 2));
+	return Math.min(maxRetryDelayMs, retryPauseMs * (2 ** (failedInRow - 1))) * (0.5 + (draw / 2));
 }
 
-/** Limits of following one topic, in milliseconds. */
+/** Time limits for following one topic, in milliseconds. */
 export type FollowLimits = {
-	/** How long one read waits for records. */
+	/** Longest time that one read waits for new records. */
 	waitMs: number;
-	/** The same for a relay, whose view others go by. */
+	/** The same for a relay, on whose view other daemons rely. */
 	relayWaitMs: number;
-	/** Age of the relays' word up to which a daemon goes by it instead of reading. */
+	/** Age up to which a daemon uses its relays' reports instead of reading. */
 	carriedMs: number;
 };
 
 /**
- * The limits of following a topic.
+ * Returns the time limits for following a topic.
  *
- * @param boundMs Within this, a change must be in force.
- * @param tellingMs Longest time between two words of a relay that stands by.
- * @param most What other needs of the view allow.
+ * @param boundMs Time within which a change must be in force.
+ * @param relayIntervalMs Longest time between two reports of a relay that has no changes.
+ * @param maximums Upper limits from other requirements on the view.
  */
-export function limitsFor(boundMs: number, tellingMs: number, most: FollowLimits): FollowLimits {
-	const carriedMs = Math.max(0, Math.min(most.carriedMs, boundMs - carriedStepMs - lastReadMs));
-	// A view is confirmed as of the sending of a read, so reads that wait leave it up to two waits old.
-	const waitMs = Math.max(shortestWaitMs, Math.min(most.waitMs, boundMs - answerMs - retryPauseMs - lastReadMs, (boundMs - lastReadMs) / 2));
-	const relayWaitMs = Math.max(shortestWaitMs, Math.min(most.relayWaitMs, waitMs, (carriedMs - tellingMs) / 2));
+export function limitsFor(boundMs: number, relayIntervalMs: number, maximums: FollowLimits): FollowLimits {
+	const carriedMs = Math.max(0, Math.min(maximums.carriedMs, boundMs - carriedStepMs - finalReadMs));
+	// An answer confirms the view as of the time at which the read was sent, so between answers the view gets up to two waits old.
+	const waitMs = Math.max(minWaitMs, Math.min(maximums.waitMs, boundMs - answerMs - retryPauseMs - finalReadMs, (boundMs - finalReadMs) / 2));
+	const relayWaitMs = Math.max(minWaitMs, Math.min(maximums.relayWaitMs, waitMs, (carriedMs - relayIntervalMs) / 2));
 	return {waitMs: Math.round(waitMs), relayWaitMs: Math.round(relayWaitMs), carriedMs: Math.round(carriedMs)};
 }
--- a/src/coordination/load-tracker.ts
+++ b/src/coordination/load-tracker.ts
@@ -1,7 +1,7 @@
 /**
- * Tracks the load each model engine reports: one polling task per engine, from the time
- * the directory learns of it until it is gone. An engine whose load cannot be read
- * `unhealthyAfter` times in a row gets no new work until it answers again.
+ * Tracks the load that each model engine reports, with one polling task for each engine from
+ * the time the directory lists it until it is gone. An engine whose load cannot be read
+ * `unhealthyAfter` times in a row gets no new requests until it answers again.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type BackendServer, BackendKind} from '../protocol/gateway-settings.js';
@@ -13,13 +13,14 @@
 
 const log = createLogger('load');
 
-/** Failed polls in a row after which an engine counts as unhealthy. */
+/** Number of failed polls in a row after which an engine counts as unhealthy. */
 export const unhealthyAfter = 3;
-/** Load polls that may pass without an answer before one counts as failed. */
+/** Timeout of a load poll, as a multiple of the polling interval. */
 const pollTimeoutFactor = 5;
 
-/** The load views of all engines, kept fresh by one task per engine. */
+/** Polls the load of all engines. */
 export class LoadTracker {
+	/** The latest load and health by id of the engine. */
 	readonly views = new Map<string, LoadView>();
 
 	constructor(
@@ -27,7 +28,7 @@
 		private readonly pollMs: number,
 	) {}
 
-	/** Counts a dispatch to an engine until its next report. */
+	/** Counts a request dispatched to an engine until its next load report. */
 	noteDispatch(engineId: string): void {
 		const view = this.views.get(engineId);
 		if (view) {
@@ -35,7 +36,7 @@
 		}
 	}
 
-	/** Marks an engine unhealthy at once, after a failed dispatch. */
+	/** Marks an engine as unhealthy after a failed dispatch, until it answers a poll. */
 	noteFailure(engineId: string): void {
 		const view = this.views.get(engineId);
 		if (view) {
@@ -43,7 +44,7 @@
 		}
 	}
 
-	/** Polls every engine the directory knows or learns of until the signal aborts. */
+	/** Polls every engine that the directory lists now or later, until the signal aborts. */
 	run(signal: AbortSignal): void {
 		this.directory.onAdded(({backend}) => {
 			if (backend.kind === BackendKind.Engine) {
@@ -80,7 +81,7 @@
 		const report = await readLoad(engine.url, this.pollMs * pollTimeoutFactor, signal);
 		const nowMs = Date.now();
 		if (report.id !== engine.id) {
-			// Another VM answers at this address: the one known here is gone.
+			// Another VM answers at this address, so the listed one is gone.
 			this.directory.noteLeaving(engine.id, LeavingSource.Engine, nowMs, nowMs);
 			return;
 		}
--- a/src/coordination/pool-demand.ts
+++ b/src/coordination/pool-demand.ts
@@ -1,8 +1,8 @@
 /**
- * How many replicas a service's traffic needs, from the requests in flight over all
- * daemons. A slow fleet has more in flight, so the need rises when it falls behind. It
- * answers waves and bursts: the need follows a rise at once and a fall slowly, since a
- * replica takes seconds to boot and one given up moves its streams.
+ * Estimates how many replicas a service's traffic needs, from the requests in flight over all
+ * daemons. A fleet that falls behind has more requests in flight, so its need rises. The need
+ * follows a rise at once and a fall slowly, since a replica takes seconds to boot and the
+ * removal of one moves its streams.
  */
 import {type BackendTable} from '../state/backend-table.js';
 import {backendKey} from './fleet/backend-key.js';
@@ -11,75 +11,77 @@
 import {type PoolNeed} from './pool-plan.js';
 import {type StatedLimits} from './stated-limits.js';
 
-/** Most requests in flight that a replica carries within the latency target: an estimate, from an engine's step that takes a quarter longer with 12 requests than with one. */
-const mostPerReplica = 12;
-/** Share of a replica's slots that may be in use on average; the rest takes what daemons place there before they hear of each other. */
-const usedSlots = 0.5;
-/** Fewest replicas that serve any traffic. */
-const fewestReplicas = 3;
-/** The need falls by half in this time, in milliseconds. */
-const fallHalfMs = 10_000;
-/** Reclaimable VMs beyond the need: at least these, for two failure domains in a row; and this share, so that what is left of a large pool after the loss of one failure domain of four still serves it. */
-const leastSpare = 4;
+/** Most requests in flight that a replica serves within the latency target: an engine's decoding step takes a quarter longer with 12 requests than with one. */
+const maxInFlightPerReplica = 12;
+/** Average share of a replica's slots to use; the rest takes requests that daemons place at the same time, before they hear of each other's. */
+const targetSlotShare = 0.5;
+/** Fewest replicas of a service, whatever its traffic. */
+const minReplicas = 3;
+/** Time in which the need falls by half without traffic, in milliseconds. */
+const decayHalfLifeMs = 10_000;
+/** Fewest reclaimable VMs beyond the need, for the loss of two failure domains in a row. */
+const minSpare = 4;
+/** Share of the need by which reclaimable VMs exceed it, so that a large pool still serves the traffic after the loss of one failure domain of four. */
 const spareShare = 1 / 3;
-/** A pool that was found without any traffic is kept for this long, in milliseconds: callers come 16 s after the daemons at the latest. */
-const keptIdleMs = 30_000;
+/** Time for which the replicas present at the start are kept without any traffic, in milliseconds: callers connect at most 16 s after the daemons start. */
+const idleGraceMs = 30_000;
 
 /** The smoothed demand for one service, in replicas. */
 export class PoolDemand {
-	private level: number;
-	private atMs: number;
+	private smoothedReplicas: number;
+	private notedAtMs: number;
 	private readonly idleUntilMs: number;
 	private hasTraffic = false;
 
 	/**
-	 * @param present Replicas found at the first look. They are taken to be what the traffic
-	 * needs until it is measured: a new holder of the duties knows of no traffic, and would
-	 * give up most of a pool seconds before callers come.
+	 * @param presentReplicas Replicas that exist at the start, assumed to be what the traffic
+	 * needs until it is known: a new duty holder has seen no traffic yet, and would otherwise
+	 * remove most of a pool seconds before callers connect.
 	 */
-	constructor(present: number, nowMs: number) {
-		this.level = carried(present);
-		this.atMs = nowMs;
-		this.idleUntilMs = nowMs + keptIdleMs;
+	constructor(presentReplicas: number, nowMs: number) {
+		this.smoothedReplicas = replicasWithoutSpare(presentReplicas);
+		this.notedAtMs = nowMs;
+		this.idleUntilMs = nowMs + idleGraceMs;
 	}
 
-	/** Takes the replicas that the requests in flight fill now. */
-	note(busy: number, nowMs: number): void {
-		this.hasTraffic ||= busy > 0;
+	/** Updates the demand with the number of replicas that the requests in flight fill now. */
+	note(busyReplicas: number, nowMs: number): void {
+		this.hasTraffic ||= busyReplicas > 0;
 		if (this.hasTraffic || nowMs >= this.idleUntilMs) {
-			const decay = 0.5 ** ((nowMs - this.atMs) / fallHalfMs);
-			this.level = Math.max(busy, (this.level * decay) + (busy * (1 - decay)));
+			const decay = 0.5 ** ((nowMs - this.notedAtMs) / decayHalfLifeMs);
+			this.smoothedReplicas = Math.max(busyReplicas, (this.smoothedReplicas * decay) + (busyReplicas * (1 - decay)));
 		}
 
-		this.atMs = nowMs;
+		this.notedAtMs = nowMs;
 	}
 
+	/** Returns the replicas needed now, those that must survive the loss of a failure domain, and the spare ones. */
 	need(): PoolNeed {
-		const replicas = Math.max(fewestReplicas, Math.ceil(this.level));
-		return {replicas, surviving: Math.max(fewestReplicas - 1, Math.ceil(replicas * 0.75)), spare: spareFor(replicas)};
+		const replicas = Math.max(minReplicas, Math.ceil(this.smoothedReplicas));
+		return {replicas, surviving: Math.max(minReplicas - 1, Math.ceil(replicas * 0.75)), spare: spareFor(replicas)};
 	}
 }
 
-/** Requests in flight that a replica carries. */
-export function carriedInFlight(slots: number): number {
-	return Math.min(mostPerReplica, slots * usedSlots);
+/** Returns the requests in flight that a replica with these slots should have. */
+export function targetInFlight(slots: number): number {
+	return Math.min(maxInFlightPerReplica, slots * targetSlotShare);
 }
 
 function spareFor(replicas: number): number {
-	return Math.max(leastSpare, Math.ceil(replicas * spareShare));
+	return Math.max(minSpare, Math.ceil(replicas * spareShare));
 }
 
-/** The most replicas that may be needed for a pool to be as large as it is, its spare ones included. */
-function carried(present: number): number {
+/** Returns the largest need for which a pool of this size would be planned, its spare replicas included. */
+function replicasWithoutSpare(presentReplicas: number): number {
 	let replicas = 0;
-	while (replicas + 1 + spareFor(replicas + 1) <= present) {
+	while (replicas + 1 + spareFor(replicas + 1) <= presentReplicas) {
 		replicas++;
 	}
 
 	return replicas;
 }
 
-/** The demand for every service, from what this daemon and its peers have in flight. */
+/** Tracks the demand for every service from the requests that this daemon and its peers have in flight. */
 export class PoolDemands {
 	private readonly demands = new Map<string, PoolDemand>();
 
@@ -90,20 +92,20 @@
 		private readonly statedLimits: Pick<StatedLimits, 'isLimited'>,
 	) {}
 
-	/** What a service needs now. */
+	/** Returns what a service needs now. */
 	need(service: string, nowMs: number): PoolNeed {
 		const replicas = this.backends.listed().filter(({backend}) => backend.service === service).map(({backend}) => backend);
 		const demand = this.demands.get(service) ?? new PoolDemand(replicas.length, nowMs);
 		this.demands.set(service, demand);
 		const own = this.placement.inFlight();
-		let busy = 0;
+		let busyReplicas = 0;
 		for (const {id, slots} of replicas) {
-			const inUse = ((own[id] ?? 0) + this.fleet.inFlight(backendKey(id), nowMs)) / carriedInFlight(slots);
-			// One that limits what it gets carries no more than it does now; another has to stand in for the rest.
-			busy += this.statedLimits.isLimited(id) ? Math.max(1, inUse) : inUse;
+			const inUse = ((own[id] ?? 0) + this.fleet.inFlight(backendKey(id), nowMs)) / targetInFlight(slots);
+			// A replica that limits its rate takes no more load than it has now, so it counts as full and others must take the rest.
+			busyReplicas += this.statedLimits.isLimited(id) ? Math.max(1, inUse) : inUse;
 		}
 
-		demand.note(busy, nowMs);
+		demand.note(busyReplicas, nowMs);
 		return demand.need();
 	}
 }
--- a/src/coordination/pool-plan.ts
+++ b/src/coordination/pool-plan.ts
@@ -1,14 +1,14 @@
 /**
- * How many VMs of which kind a service should have in each failure domain. It answers
- * reclaim waves: all reclaimable VMs of a failure domain go at a few seconds' notice, the
- * next failure domain follows within seconds, and none may be had anywhere for many
- * seconds. So reclaimable VMs are spread over all failure domains, and on-demand VMs
- * stand in for those that cannot be had, before the loss of one more failure domain would
- * leave too few. They are given up only when what replaces them serves.
+ * Plans how many VMs of which kind a service should have in each failure domain. The plan must
+ * withstand waves of reclaims: a failure domain loses all its reclaimable VMs at a few
+ * seconds' notice, the next one follows within seconds, and no new ones are available anywhere
+ * for many seconds. So reclaimable VMs are spread over all failure domains, and on-demand VMs
+ * replace those that are not available, before the loss of one more failure domain would leave
+ * too few. On-demand VMs are removed only when the reclaimable VMs that replace them serve.
  */
 import {type Scaling} from '../protocol/serving.js';
 
-/** VMs of one failure domain. */
+/** The VMs planned for one failure domain. */
 export type DomainPool = {
 	failureDomain: string;
 	onDemand: number;
@@ -19,9 +19,9 @@
 export type DomainState = {
 	/** Reclaimable VMs that serve. */
 	serving: number;
-	/** Reclaimable VMs that serve or were promised and may still be booting. */
+	/** Reclaimable VMs that serve, or that were ordered and may still be booting. */
 	expected: number;
-	/** On-demand VMs ordered last. */
+	/** On-demand VMs in the last order. */
 	onDemand: number;
 };
 
@@ -29,7 +29,7 @@
 export type PoolNeed = {
 	/** Replicas that serve the demand within the latency target. */
 	replicas: number;
-	/** Replicas that must be left when any one failure domain loses its reclaimable VMs. */
+	/** Replicas that must be left after any one failure domain loses its reclaimable VMs. */
 	surviving: number;
 	/** Reclaimable VMs wanted beyond the replicas needed, over all failure domains. */
 	spare: number;
@@ -39,47 +39,47 @@
 
 const unknownState: DomainState = {serving: 0, expected: 0, onDemand: 0};
 
-/** Plans a service's VMs. */
+/** Plans a service's VMs in all failure domains, the cheapest first. */
 export function planPool(scaling: Scaling, need: PoolNeed, states: ReadonlyMap<string, DomainState>): DomainPool[] {
 	const isReclaimable = scaling.reclaimablePriceRatio !== undefined;
-	const count = scaling.prices.size;
-	const perDomain = isReclaimable ? Math.min(scaling.max, Math.max(scaling.min, Math.ceil((need.replicas + need.spare) / count))) : 0;
+	const domainCount = scaling.prices.size;
+	const reclaimablePerDomain = isReclaimable ? Math.min(scaling.max, Math.max(scaling.min, Math.ceil((need.replicas + need.spare) / domainCount))) : 0;
 	const domains: PlannedDomain[] = [...scaling.prices]
 		.toSorted((a, b) => a[1] - b[1])
 		.map(([failureDomain]) => ({
-			failureDomain, reclaimable: perDomain, onDemand: states.get(failureDomain)?.onDemand ?? 0, state: states.get(failureDomain) ?? unknownState,
+			failureDomain, reclaimable: reclaimablePerDomain, onDemand: states.get(failureDomain)?.onDemand ?? 0, state: states.get(failureDomain) ?? unknownState,
 		}));
-	const ordered = sumOf(domains.map(domain => domain.onDemand));
-	const fewest = lacking(need, domains.map(domain => Math.min(perDomain, domain.state.expected)));
-	const most = Math.max(fewest, lacking(need, domains.map(domain => Math.min(perDomain, domain.state.serving))));
-	resize(domains, Math.min(Math.max(ordered, fewest), most) - ordered, scaling);
+	const orderedOnDemand = sumOf(domains.map(domain => domain.onDemand));
+	const minOnDemand = onDemandNeeded(need, domains.map(domain => Math.min(reclaimablePerDomain, domain.state.expected)));
+	const maxOnDemand = Math.max(minOnDemand, onDemandNeeded(need, domains.map(domain => Math.min(reclaimablePerDomain, domain.state.serving))));
+	adjustOnDemand(domains, Math.min(Math.max(orderedOnDemand, minOnDemand), maxOnDemand) - orderedOnDemand, scaling);
 	return domains.map(({failureDomain, onDemand, reclaimable}) => ({
 		failureDomain,
 		onDemand: isReclaimable ? onDemand : Math.max(onDemand, scaling.min),
-		// A failure domain's limit holds for both kinds together.
+		// The maximum of a failure domain holds for both kinds together.
 		reclaimable: Math.min(reclaimable, scaling.max - onDemand),
 	}));
 }
 
-/** On-demand VMs needed beside the reclaimable ones of each failure domain. */
-function lacking(need: PoolNeed, reclaimable: number[]): number {
+/** Returns the number of on-demand VMs needed in addition to the given reclaimable VMs of each failure domain. */
+function onDemandNeeded(need: PoolNeed, reclaimable: number[]): number {
 	const total = sumOf(reclaimable);
 	return Math.max(need.replicas - total, need.surviving - (total - Math.max(0, ...reclaimable)), 0);
 }
 
-/** Adds on-demand VMs in the cheapest failure domains with room, or gives up the dearest. */
-function resize(domains: PlannedDomain[], change: number, scaling: Scaling): void {
-	for (let left = change; left > 0; left--) {
+/** Adds on-demand VMs in the failure domains with room, those with the fewest first, or removes the most expensive ones. */
+function adjustOnDemand(domains: PlannedDomain[], change: number, scaling: Scaling): void {
+	for (let remaining = change; remaining > 0; remaining--) {
 		const open = domains.filter(domain => domain.onDemand + Math.min(domain.reclaimable, domain.state.expected) < scaling.max);
 		if (open.length === 0) {
 			return;
 		}
 
-		// Evenly, so that the loss of a whole failure domain takes few.
+		// An even spread keeps the loss small when a whole failure domain fails.
 		open.toSorted((a, b) => a.onDemand - b.onDemand)[0].onDemand++;
 	}
 
-	for (let left = change; left < 0; left++) {
+	for (let remaining = change; remaining < 0; remaining++) {
 		const last = domains.findLast(domain => domain.onDemand > 0);
 		if (last) {
 			last.onDemand--;
--- a/src/coordination/router.ts
+++ b/src/coordination/router.ts
@@ -1,9 +1,8 @@
 /**
- * Routing of a completion to a model engine. It weighs the load each engine
- * reported (stale, so corrected by what this gateway sent since) against
- * prefix-cache affinity: prompts that share a prefix go to the same engine by
- * rendezvous hashing, unless that engine is loaded beyond the least loaded by more
- * than the preset's slack.
+ * Routes a completion to a model engine by load and prefix-cache affinity. Prompts that share
+ * a prefix go to the same engine by rendezvous hashing, unless its load exceeds that of the
+ * least loaded engine by more than the preset's slack. The load is the one that the engine
+ * reported last, plus the requests that this gateway has sent since, since reports are stale.
  */
 import {createHash} from 'node:crypto';
 import {type BackendServer} from '../protocol/gateway-settings.js';
@@ -11,23 +10,23 @@
 import {promptTokens} from '../protocol/tokens.js';
 import {NoBackendError} from './errors.js';
 
-/** Words of the prompt that make up the prefix for affinity. */
+/** Leading tokens of the prompt that make up the prefix for affinity. */
 export const affinityTokens = 32;
-/** Default slack: queued requests an affine engine may have above the least loaded. */
+/** Default slack: requests that an engine with affinity may have beyond the least loaded one. */
 export const defaultAffinitySlack = 4;
-/** A load report older than this is not trusted. */
+/** Age beyond which a load report is ignored, in milliseconds. */
 export const staleLoadMs = 2000;
 
-/** What a gateway knows of one backend server's load. */
+/** What a gateway knows of one backend server's load and health. */
 export type LoadView = {
 	report?: EngineLoad;
 	receivedAtMs?: number;
-	/** Requests this gateway dispatched since the report arrived. */
+	/** Requests that this gateway has dispatched since the report arrived. */
 	sentSinceReport: number;
 	healthy: boolean;
 };
 
-/** Whether an engine serves a model: by its own report, or by settings until it reported. */
+/** Returns whether an engine serves a model, by its load report, or by its settings until it has reported. */
 export function servesModel(backend: BackendServer, view: LoadView | undefined, model: string): boolean {
 	return (view?.report ? view.report.model : backend.name) === model;
 }
@@ -42,17 +41,17 @@
 	nowMs: number;
 };
 
-/** Estimated queue of a backend server at `nowMs`. */
+/** Estimates the requests running and waiting at a backend server at `nowMs`. */
 export function estimateLoad(view: LoadView | undefined, nowMs: number): number {
 	if (!view) {
 		return 0;
 	}
 
-	const fresh = view.report !== undefined && view.receivedAtMs !== undefined && nowMs - view.receivedAtMs <= staleLoadMs;
-	return (fresh ? view.report!.running + view.report!.waiting : 0) + view.sentSinceReport;
+	const isFresh = view.report !== undefined && view.receivedAtMs !== undefined && nowMs - view.receivedAtMs <= staleLoadMs;
+	return (isFresh ? view.report!.running + view.report!.waiting : 0) + view.sentSinceReport;
 }
 
-/** The rendezvous score of a backend server for a prompt prefix. */
+/** Returns the rendezvous-hashing score of a backend server for a prompt prefix. */
 export function affinityScore(prefix: string, backendId: string): number {
 	return createHash('sha256').update(prefix).update('\0').update(backendId).digest().readUInt32BE(0);
 }
@@ -60,7 +59,7 @@
 /**
  * Chooses the backend server for a prompt.
  *
- * @throws {NoBackendError} When no candidate is healthy and not excluded.
+ * @throws {NoBackendError} When every candidate is unhealthy or excluded.
  */
 export function chooseBackend(query: RouteQuery): BackendServer {
 	const {candidates, loads, excluded, prompt, affinitySlack, nowMs} = query;
--- a/src/coordination/usage-ledger.ts
+++ b/src/coordination/usage-ledger.ts
@@ -1,37 +1,37 @@
 /**
- * How many requests of each client account began to run in each window of true time, over
- * all daemons. Every daemon counts its own and repeats its latest counts, and relays repeat
- * the sums of their failure domains, so that little is lost with one that dies. A failure
- * domain's count is the higher of what its daemons said themselves and what relays said of
- * it: both are at most the truth.
+ * Counts the requests of each client account that began to run in each window of wall-clock
+ * time, over all daemons. Every daemon counts its own and resends its latest counts, and relays
+ * resend the sums of their failure domains, so that little is lost when a daemon dies. The
+ * count of a failure domain is the higher of the sum of its daemons' reports and the sum that
+ * relays reported: neither exceeds the true count.
  */
 import {type WindowCounts} from '../protocol/fleet-messages.js';
 
-/** Windows kept: those that may still have to be reported. */
-const keptWindows = 6;
-/** Windows repeated to others: the current one and those that may still be counted. */
-const toldWindows = 3;
+/** Number of windows kept, enough for all that may still have to be reported. */
+const maxWindows = 6;
+/** Number of windows resent to peers: the current one and those whose counts may still change. */
+const sharedWindows = 3;
 
-/** Counts by window. */
+/** Counts by index of the window. */
 type Windows = Map<number, WindowCounts>;
 
-/** What is known of one failure domain. */
+/** The counts known of one failure domain. */
 type DomainUsage = {
-	/** By start of a daemon. */
+	/** Counts that daemons reported themselves, by incarnation of the daemon. */
 	daemons: Map<string, Windows>;
-	/** As relays said. */
-	told: Windows;
+	/** Sums that relays reported. */
+	relayed: Windows;
 };
 
-/** The counts of this daemon and those heard from others. */
+/** Tracks the counts of this daemon and those reported by its peers. */
 export class UsageLedger {
 	private readonly domains = new Map<string, DomainUsage>();
-	/** What relays said of all daemons but this one. */
-	private readonly rest: Windows = new Map();
+	/** Sums that relays reported of all daemons but this one. */
+	private readonly relayedOthers: Windows = new Map();
 
 	/**
-	 * @param failureDomain This daemon's.
-	 * @param incarnation This start of this daemon.
+	 * @param failureDomain Failure domain of this daemon.
+	 * @param incarnation Identifies this start of this daemon.
 	 */
 	constructor(
 		private readonly failureDomain: string,
@@ -39,6 +39,7 @@
 		private readonly windowMs: number,
 	) {}
 
+	/** Returns the index of the window at a wall-clock time. */
 	windowAt(wallMs: number): number {
 		return Math.floor(wallMs / this.windowMs);
 	}
@@ -49,25 +50,25 @@
 		counts[account] = (counts[account] ?? 0) + 1;
 	}
 
-	/** Takes what another daemon counted; its counts of a window only grow. */
+	/** Merges the counts that another daemon reported; its counts of a window only grow. */
 	note(failureDomain: string, incarnation: string, window: number, counts: WindowCounts): void {
-		raise(countsOf(this.daemonWindows(failureDomain, incarnation), window), counts);
+		raiseTo(countsOf(this.daemonWindows(failureDomain, incarnation), window), counts);
 	}
 
-	/** Takes what a relay said of its failure domain. */
+	/** Merges the sums that a relay reported of its failure domain. */
 	noteDomain(failureDomain: string, window: number, counts: WindowCounts): void {
-		raise(countsOf(this.usageOf(failureDomain).told, window), counts);
+		raiseTo(countsOf(this.usageOf(failureDomain).relayed, window), counts);
 	}
 
-	/** Takes what a relay said of all daemons but this one. */
+	/** Merges the sums that a relay reported of all daemons but this one. */
 	noteRest(window: number, counts: WindowCounts): void {
-		raise(countsOf(this.rest, window), counts);
+		raiseTo(countsOf(this.relayedOthers, window), counts);
 	}
 
-	/** The counts of the latest windows of all daemons but one. */
+	/** Returns the sums of the latest windows over all daemons but one. */
 	restOf(failureDomain: string, incarnation: string): Array<[number, WindowCounts]> {
-		const known = [...this.domains.values()].flatMap(usage => [...usage.daemons.values(), usage.told]).flatMap(windows => [...windows.keys()]);
-		const windows = [...new Set(known)].toSorted((a, b) => a - b).slice(-toldWindows);
+		const known = [...this.domains.values()].flatMap(usage => [...usage.daemons.values(), usage.relayed]).flatMap(windows => [...windows.keys()]);
+		const windows = [...new Set(known)].toSorted((a, b) => a - b).slice(-sharedWindows);
 		return windows.map(window => {
 			const total = this.domainsTotal(window);
 			subtractCounts(total, this.usageOf(failureDomain).daemons.get(incarnation)?.get(window) ?? {});
@@ -75,25 +76,25 @@
 		});
 	}
 
-	/** This daemon's counts of its latest windows. */
+	/** Returns this daemon's counts of its latest windows. */
 	own(): Array<[number, WindowCounts]> {
-		return latest(this.ownWindows());
+		return latestWindows(this.ownWindows());
 	}
 
-	/** The counts of a failure domain's latest windows. */
+	/** Returns the sums of a failure domain's latest windows. */
 	domain(failureDomain: string): Array<[number, WindowCounts]> {
 		const usage = this.usageOf(failureDomain);
-		const windows = new Set([...usage.daemons.values(), usage.told].flatMap(counts => [...counts.keys()]));
-		return latest(new Map([...windows].toSorted((a, b) => a - b).map(window => [window, domainTotal(usage, window)])));
+		const windows = new Set([...usage.daemons.values(), usage.relayed].flatMap(counts => [...counts.keys()]));
+		return latestWindows(new Map([...windows].toSorted((a, b) => a - b).map(window => [window, domainTotal(usage, window)])));
 	}
 
-	/** The counts of a window over all daemons; undefined when none counted anything. */
+	/** Returns the sums of a window over all daemons; undefined when no daemon counted a request. */
 	total(window: number): WindowCounts | undefined {
 		const total = this.domainsTotal(window);
-		// One that is no relay hears of most daemons only through the relays.
-		const told = {...this.ownWindows().get(window)};
-		addCounts(told, this.rest.get(window) ?? {});
-		raise(total, told);
+		// A daemon that is not a relay gets the counts of most daemons only through the relays.
+		const relayed = {...this.ownWindows().get(window)};
+		addCounts(relayed, this.relayedOthers.get(window) ?? {});
+		raiseTo(total, relayed);
 		return Object.keys(total).length === 0 ? undefined : total;
 	}
 
@@ -115,7 +116,7 @@
 		let windows = daemons.get(incarnation);
 		if (!windows) {
 			windows = new Map();
-			forgetEmpty(daemons);
+			dropExpired(daemons);
 			daemons.set(incarnation, windows);
 		}
 
@@ -125,7 +126,7 @@
 	private usageOf(failureDomain: string): DomainUsage {
 		let usage = this.domains.get(failureDomain);
 		if (!usage) {
-			usage = {daemons: new Map(), told: new Map()};
+			usage = {daemons: new Map(), relayed: new Map()};
 			this.domains.set(failureDomain, usage);
 		}
 
@@ -139,7 +140,7 @@
 		addCounts(total, windows.get(window) ?? {});
 	}
 
-	raise(total, usage.told.get(window) ?? {});
+	raiseTo(total, usage.relayed.get(window) ?? {});
 	return total;
 }
 
@@ -149,7 +150,7 @@
 		counts = {};
 		windows.set(window, counts);
 		for (const old of windows.keys()) {
-			if (old <= window - keptWindows) {
+			if (old <= window - maxWindows) {
 				windows.delete(old);
 			}
 		}
@@ -158,18 +159,18 @@
 	return counts;
 }
 
-/** Forgets starts of daemons whose counts are too old to be reported. */
-function forgetEmpty(daemons: Map<string, Windows>): void {
+/** Drops incarnations of daemons whose counts are too old to be reported. */
+function dropExpired(daemons: Map<string, Windows>): void {
 	const newest = Math.max(...[...daemons.values()].flatMap(windows => [...windows.keys()]));
 	for (const [incarnation, windows] of daemons) {
-		if ([...windows.keys()].every(window => window <= newest - keptWindows)) {
+		if ([...windows.keys()].every(window => window <= newest - maxWindows)) {
 			daemons.delete(incarnation);
 		}
 	}
 }
 
-function latest(windows: Windows): Array<[number, WindowCounts]> {
-	return [...windows].slice(-toldWindows);
+function latestWindows(windows: Windows): Array<[number, WindowCounts]> {
+	return [...windows].slice(-sharedWindows);
 }
 
 function addCounts(total: WindowCounts, counts: WindowCounts): void {
@@ -184,8 +185,8 @@
 	}
 }
 
-/** Raises counts to others where these are higher. */
-function raise(known: WindowCounts, counts: WindowCounts): void {
+/** Raises known counts to reported ones where these are higher. */
+function raiseTo(known: WindowCounts, counts: WindowCounts): void {
 	for (const [account, count] of Object.entries(counts)) {
 		known[account] = Math.max(known[account] ?? 0, count);
 	}
