--- a/src/coordination/__tests__/follow-limits.test.ts
+++ b/src/coordination/__tests__/follow-limits.test.ts
@@ -1,17 +1,17 @@
 import {describe, expect, it} from 'vitest';
 import {
-	answerMs, carriedStepMs, type FollowLimits, limitsFor, retryPauseMs,
+	answerMs, carriedStepMs, type TopicReadLimits, limitsFor, firstRetryDelayMs,
 } from '../follow-limits.js';
 
 const relayIntervalMs = 500;
-const maximums: FollowLimits = {waitMs: 1100, relayWaitMs: 1100, carriedMs: 2750};
+const maximums: TopicReadLimits = {waitMs: 1100, relayWaitMs: 1100, carriedMs: 2750};
 
 describe('limitsFor', () => {
 	it.each([
 		{boundMs: 1500}, {boundMs: 2000}, {boundMs: 3000}, {boundMs: 4000}, {boundMs: 17_000},
 	])('leaves time for another read within $boundMs ms when a connection stalls or the relays cannot read', ({boundMs}) => {
 		const {waitMs, relayWaitMs, carriedMs} = limitsFor(boundMs, relayIntervalMs, maximums);
-		expect(waitMs + answerMs + retryPauseMs).toBeLessThan(boundMs);
+		expect(waitMs + answerMs + firstRetryDelayMs).toBeLessThan(boundMs);
 		expect(carriedMs + carriedStepMs).toBeLessThan(boundMs);
 		expect(relayWaitMs).toBeLessThanOrEqual(waitMs);
 	});
--- a/src/coordination/follow-limits.ts
+++ b/src/coordination/follow-limits.ts
@@ -13,7 +13,7 @@
 /** Timeout for the answer to a read that does not wait after several failures, in milliseconds: a read sent just before the store recovers delays the next one by no more than this. */
 export const mostAnswerMs = 1800;
 /** Longest delay before the retry of a read after one failure, in milliseconds; it doubles with each failure in a row. */
-export const retryPauseMs = 200;
+export const firstRetryDelayMs = 200;
 /** Longest delay before a retry after any number of failures, in milliseconds: retries must not add load to a store that refuses requests, and callers wait at most this long once it answers again. */
 const maxRetryDelayMs = 800;
 /** Interval at which a daemon that relies on its relays checks whether their reports are still recent enough, in milliseconds. */
@@ -30,11 +30,11 @@
  * @param draw A uniform random number from 0 to 1, so that daemons do not retry in step.
  */
 export function pauseAfter(failedInRow: number, draw: number): number {
-	return Math.min(maxRetryDelayMs, retryPauseMs * (2 ** (failedInRow - 1))) * (0.5 + (draw / 2));
+	return Math.min(maxRetryDelayMs, firstRetryDelayMs * (2 ** (failedInRow - 1))) * (0.5 + (draw / 2));
 }
 
 /** Time limits for following one topic, in milliseconds. */
-export type FollowLimits = {
+export type TopicReadLimits = {
 	/** Longest time that one read waits for new records. */
 	waitMs: number;
 	/** The same for a relay, on whose view other daemons rely. */
@@ -50,10 +50,10 @@
  * @param relayIntervalMs Longest time between two reports of a relay that has no changes.
  * @param maximums Upper limits from other requirements on the view.
  */
-export function limitsFor(boundMs: number, relayIntervalMs: number, maximums: FollowLimits): FollowLimits {
+export function limitsFor(boundMs: number, relayIntervalMs: number, maximums: TopicReadLimits): TopicReadLimits {
 	const carriedMs = Math.max(0, Math.min(maximums.carriedMs, boundMs - carriedStepMs - finalReadMs));
 	// An answer confirms the view as of the time at which the read was sent, so between answers the view gets up to two waits old.
-	const waitMs = Math.max(minWaitMs, Math.min(maximums.waitMs, boundMs - answerMs - retryPauseMs - finalReadMs, (boundMs - finalReadMs) / 2));
+	const waitMs = Math.max(minWaitMs, Math.min(maximums.waitMs, boundMs - answerMs - firstRetryDelayMs - finalReadMs, (boundMs - finalReadMs) / 2));
 	const relayWaitMs = Math.max(minWaitMs, Math.min(maximums.relayWaitMs, waitMs, (carriedMs - relayIntervalMs) / 2));
 	return {waitMs: Math.round(waitMs), relayWaitMs: Math.round(relayWaitMs), carriedMs: Math.round(carriedMs)};
 }
--- a/src/coordination/retry-allowance.ts
+++ b/src/coordination/retry-allowance.ts
@@ -19,10 +19,10 @@
 const windowSteps = 10;
 
 /** The retry budget over all daemons: in each window, further attempts up to `ratio` times the requests plus `slack`. */
-export type RetryBound = {ratio: number; windowMs: number; slack: number};
+export type RetryBudgetLimits = {ratio: number; windowMs: number; slack: number};
 
 /** The retry budget of a gateway, which has no setting for it: one retry for five requests, and some for a short outage of one engine. */
-export const defaultRetryBound: RetryBound = {ratio: 0.2, windowMs: 10_000, slack: 27};
+export const defaultRetryBound: RetryBudgetLimits = {ratio: 0.2, windowMs: 10_000, slack: 27};
 
 /** First attempts and further attempts in one step. */
 type Counts = {step: number; firsts: number; repeats: number};
@@ -77,7 +77,7 @@
 export class RetryAllowance {
 	private readonly windows = new Map<string, ServiceWindow>();
 
-	constructor(private readonly bound: RetryBound) {}
+	constructor(private readonly bound: RetryBudgetLimits) {}
 
 	/** Counts the first attempt of a request. */
 	countRequest(service: string, nowMs: number): void {
--- a/src/coordination/stated-limits.ts
+++ b/src/coordination/stated-limits.ts
@@ -75,10 +75,10 @@
 	noteStated(backendId: string, perSecond: number | undefined, nowMs: number): void {
 		const key = backendKey(backendId);
 		if (perSecond !== undefined || this.entries.has(key)) {
-			const known = this.entries.get(key);
+			const previous = this.entries.get(key);
 			this.setEntry(key, perSecond, nowMs, nowMs);
-			if (known?.perSecond !== perSecond) {
-				log.info('limit stated.', {backend: backendId, perSecond, before: known?.perSecond});
+			if (previous?.perSecond !== perSecond) {
+				log.info('limit stated.', {backend: backendId, perSecond, before: previous?.perSecond});
 			}
 		}
 	}
