--- a/src/coordination/__tests__/shared-limits.test.ts
+++ b/src/coordination/__tests__/shared-limits.test.ts
@@ -212,7 +212,7 @@
 		{
 			name: '370 daemons that report through relays', daemons: 370, roundMs: 500, reportDelayMs: 300,
 		},
-	])('admits most of the operators\' bound and no more over $name', ({daemons, roundMs, reportDelayMs}) => {
+	])('admits most of the operators\' bound without exceeding it over $name', ({daemons, roundMs, reportDelayMs}) => {
 		// The rate decides at which point between two reports the limit is reached.
 		const admitted = Array.from({length: daemons > 100 ? 2 : 8}, (_, index) => simulateHotAccount({
 			daemons, roundMs, reportDelayMs, offeredPerSecond: 800_000 + (index * 120_000), beforePerSecond: index % 2 * 100_000, seed: index,
--- a/src/coordination/placement.ts
+++ b/src/coordination/placement.ts
@@ -31,7 +31,7 @@
 const maxCachedParts = 2000;
 /** Cost added while a backend server is still cold after its start, in milliseconds. */
 const coldStartCostMs = 100;
-/** Cost added for a failure domain other than the daemon's, in milliseconds: one longer round trip. */
+/** Cost added for a failure domain other than the daemon's, in milliseconds: the longer round trip. */
 const otherDomainCostMs = 3;
 /** Number of backend servers up to which all are compared. With more, all daemons of a large fleet would choose the one that seemed least loaded half a second ago; eight engines get an even share of a burst when all are compared. */
 const maxScoredEngines = 12;
--- a/src/coordination/retry-allowance.ts
+++ b/src/coordination/retry-allowance.ts
@@ -24,8 +24,8 @@
 /** The retry budget of a gateway, which has no setting for it: one retry for five requests, and some for a short outage of one engine. */
 export const defaultRetryBound: RetryBudgetLimits = {ratio: 0.2, windowMs: 10_000, slack: 27};
 
-/** First attempts and further attempts in one step. */
-type Counts = {step: number; firsts: number; repeats: number};
+/** First attempts of requests and further attempts, by step. */
+type Counts = {step: number; firstAttempts: number; extraAttempts: number};
 
 /** The attempts for one service within the sliding window. */
 class ServiceWindow {
@@ -51,21 +51,22 @@
 			return last;
 		}
 
-		const added = {step, firsts: 0, repeats: 0};
+		const added = {step, firstAttempts: 0, extraAttempts: 0};
 		this.counts.push(added);
 		return added;
 	}
 
+	/** Returns the sums over the window. */
 	sum(nowMs: number): {firsts: number; repeats: number} {
 		this.currentCounts(nowMs);
-		let firsts = 0;
-		let repeats = 0;
+		let requests = 0;
+		let retries = 0;
 		for (const count of this.counts) {
-			firsts += count.firsts;
-			repeats += count.repeats;
+			requests += count.firstAttempts;
+			retries += count.extraAttempts;
 		}
 
-		return {firsts, repeats};
+		return {firsts: requests, repeats: retries};
 	}
 
 	private stepOf(atMs: number): number {
@@ -81,19 +82,19 @@
 
 	/** Counts the first attempt of a request. */
 	countRequest(service: string, nowMs: number): void {
-		this.window(service).currentCounts(nowMs).firsts++;
+		this.window(service).currentCounts(nowMs).firstAttempts++;
 	}
 
 	/** Takes one further attempt from the budget if this daemon's share allows it; `daemons` is the number of daemons that share the budget. */
 	take(service: string, purpose: RepeatPurpose, daemons: number, nowMs: number): boolean {
 		const window = this.window(service);
-		const {firsts, repeats} = window.sum(nowMs);
-		const share = (this.bound.ratio * firsts) + (this.bound.slack / Math.max(1, daemons));
-		if (repeats + 1 > share * usableShares[purpose]) {
+		const {firsts: requests, repeats: retries} = window.sum(nowMs);
+		const share = (this.bound.ratio * requests) + (this.bound.slack / Math.max(1, daemons));
+		if (retries + 1 > share * usableShares[purpose]) {
 			return false;
 		}
 
-		window.currentCounts(nowMs).repeats++;
+		window.currentCounts(nowMs).extraAttempts++;
 		return true;
 	}
 
@@ -101,7 +102,7 @@
 	giveBack(service: string, takenAtMs: number): void {
 		const counts = this.window(service).countsAt(takenAtMs);
 		if (counts) {
-			counts.repeats--;
+			counts.extraAttempts--;
 		}
 	}
 
--- a/src/coordination/stated-limits.ts
+++ b/src/coordination/stated-limits.ts
@@ -18,7 +18,7 @@
 const usedLimitShare = 0.9;
 /** Lowest pace in requests a second, also for lower limits, so that the end of a limit is noticed. */
 const minPacedPerSecond = 0.1;
-/** Time without a statement from a limited backend server after which the next request that its limit allows is sent to it as a probe, in milliseconds. It doubles with each probe that brings no statement, since the backend server may be dead. */
+/** Time without a statement from a limited backend server after which the next request that its limit allows is sent to it as a probe of whether the limit still holds, in milliseconds. It doubles with each probe that brings no statement, since the backend server may be dead. */
 const probeAfterMs = 3000;
 /** Age at which a limit that was not stated again is dropped, in milliseconds. */
 const limitMaxAgeMs = 5 * 60_000;
@@ -66,7 +66,7 @@
 	/** @param chooseSenders Chooses at most `maxSenders` daemons that send to a backend server. */
 	constructor(private readonly chooseSenders: (backend: number, maxSenders: number, nowMs: number) => SenderChoice) {}
 
-	/** Whether no backend server is limited. */
+	/** Whether no backend server has stated a limit of late. */
 	get isEmpty(): boolean {
 		return this.entries.size === 0;
 	}
