--- a/src/coordination/cost-meter.ts
+++ b/src/coordination/cost-meter.ts
@@ -19,6 +19,7 @@
 export class CostMeter {
 	private readonly counts: Step[] = [];
 
+	/** Adds cost units that arrive at `nowMs`. */
 	add(cost: number, nowMs: number): void {
 		const step = Math.floor(nowMs / stepMs);
 		const last = this.counts.at(-1);
--- a/src/coordination/fleet-controller.ts
+++ b/src/coordination/fleet-controller.ts
@@ -220,7 +220,7 @@
 		const isSettled = missing === 0 && serving.every(vm => this.reportOf(vm)?.model === model);
 		for (const vm of isSettled ? surplus : []) {
 			// eslint-disable-next-line no-await-in-loop
-			await this.sendOrderOnce(vm, {kind: OrderKind.ChangeRole, role: EngineRole.Draining});
+			await this.sendOrderUnlessRecent(vm, {kind: OrderKind.ChangeRole, role: EngineRole.Draining});
 			this.counters.drained++;
 		}
 	}
@@ -266,12 +266,12 @@
 		const empty = serving.filter(vm => vm.state === VmState.Live && this.reportOf(vm) !== undefined && this.reportOf(vm)!.model === undefined);
 		for (const vm of empty) {
 			// eslint-disable-next-line no-await-in-loop
-			await this.sendOrderOnce(vm, {kind: OrderKind.LoadModel, model});
+			await this.sendOrderUnlessRecent(vm, {kind: OrderKind.LoadModel, model});
 		}
 	}
 
 	/** Sends an order to an engine, unless the same one was sent a moment ago or the lease is lost. */
-	private async sendOrderOnce(vm: VmEntry, order: Omit<EngineOrder, 'fencingToken'>): Promise<void> {
+	private async sendOrderUnlessRecent(vm: VmEntry, order: Omit<EngineOrder, 'fencingToken'>): Promise<void> {
 		const last = this.lastOrders.get(vm.name);
 		const isRepeat = last?.order.kind === order.kind && last.order.model === order.model && Date.now() - last.atMs < orderRepeatIntervalMs;
 		const fencingToken = this.options.lease.tokenAt(readClocks());
