--- a/src/coordination/__tests__/duty-lease.test.ts
+++ b/src/coordination/__tests__/duty-lease.test.ts
@@ -7,13 +7,13 @@
 const leaseMs = 3000;
 const {signal} = new AbortController();
 
-/** A clock that tests set. */
+/** A clock that the test advances. */
 function createClock(): {clock: SteadyClock; time: {ms: number}} {
 	const time = {ms: 10_000};
 	return {time, clock: new SteadyClock({monotonicMs: () => time.ms, wallMs: () => time.ms, uptimeMs: () => time.ms})};
 }
 
-/** Two daemons at one store and clock. */
+/** Two daemons that share a store and a clock. */
 function createPair() {
 	const store = new FakeStore();
 	const {clock, time} = createClock();
@@ -26,26 +26,26 @@
 
 describe('shouldClaim', () => {
 	const base = {
-		rank: 0, hearsMost: true, holderHeardAtMs: 0, startedAtMs: 0,
+		rank: 0, hearsMost: true, holderLastSeenAtMs: 0, startedAtMs: 0,
 	};
 	it.each([
 		{
-			name: 'not while the holder is heard', inputs: base, nowMs: 1500, expected: false,
+			name: 'false while the holder is alive', inputs: base, nowMs: 1500, expected: false,
 		},
 		{
-			name: 'the first in rank after its silence', inputs: base, nowMs: 2100, expected: true,
+			name: 'true for the first in rank once the holder timed out', inputs: base, nowMs: 2100, expected: true,
 		},
 		{
-			name: 'a later rank waits longer', inputs: {...base, rank: 3}, nowMs: 2500, expected: false,
+			name: 'false for a later rank, which waits longer', inputs: {...base, rank: 3}, nowMs: 2500, expected: false,
 		},
 		{
-			name: 'not one that cannot hear most others', inputs: {...base, hearsMost: false}, nowMs: 5000, expected: false,
+			name: 'false for a daemon most of whose peers are silent', inputs: {...base, hearsMost: false}, nowMs: 5000, expected: false,
 		},
 		{
-			name: 'one alone after a long silence', inputs: {...base, hearsMost: false}, nowMs: 13_000, expected: true,
+			name: 'true for such a daemon after the longer timeout', inputs: {...base, hearsMost: false}, nowMs: 13_000, expected: true,
 		},
 		{
-			name: 'soon where there was never a holder', inputs: {...base, holderHeardAtMs: undefined}, nowMs: 400, expected: true,
+			name: 'true soon after the start if there was never a holder', inputs: {...base, holderLastSeenAtMs: undefined}, nowMs: 400, expected: true,
 		},
 	])('$name', ({inputs, nowMs, expected}) => {
 		expect(shouldClaim(inputs, nowMs)).toBe(expected);
@@ -53,13 +53,13 @@
 });
 
 describe('DutyLease', () => {
-	it('the very first claim acts at once, with a token from its offset', async () => {
+	it('acts at once on the first claim of the topic, with a token derived from its offset', async () => {
 		const {first, time, inputs} = createPair();
 		await first.step(inputs, signal);
 		expect(first.tokenAt(time.ms)).toBe(1);
 	});
 
-	it('a later claim keeps quiet until its predecessor must have noticed', async () => {
+	it('does not act on a later claim until the previous holder\'s confirmation must have expired', async () => {
 		const {first, second, time, inputs} = createPair();
 		await first.step(inputs, signal);
 		second.hear({token: 1, ageMs: 0}, time.ms);
@@ -71,7 +71,7 @@
 		expect(second.tokenAt(time.ms)).toBe(2);
 	});
 
-	it('the old holder acts no more once its confirming read is old, and knows of the new one when it reads', async () => {
+	it('stops acting once its confirmation expired, and learns of the new holder from its next read', async () => {
 		const {first, second, store, time, inputs} = createPair();
 		await first.step(inputs, signal);
 		store.isDown = true;
@@ -85,14 +85,14 @@
 		expect(first.news(time.ms)).toBeDefined();
 	});
 
-	it('of two that claim at once one wins', async () => {
+	it('lets exactly one of two concurrent claims win', async () => {
 		const {first, second, store, time, inputs} = createPair();
 		await Promise.all([first.step(inputs, signal), second.step(inputs, signal)]);
 		expect([first, second].filter(lease => lease.tokenAt(time.ms) !== undefined)).toHaveLength(1);
 		expect(store.length(Topic.Duties)).toBe(1);
 	});
 
-	it('a claim whose answer was lost is found by the next read', async () => {
+	it('finds a claim whose answer was lost with the next read', async () => {
 		const {first, store, time, inputs} = createPair();
 		store.losesAnswers = true;
 		await expect(first.step(inputs, signal)).rejects.toThrow('answer lost');
@@ -102,14 +102,14 @@
 		expect(first.tokenAt(time.ms)).toBe(1);
 	});
 
-	it('a report is decided once: an append at an old end is refused', async () => {
+	it('does not append a usage report at an outdated end of the topic', async () => {
 		const {first, store, inputs} = createPair();
 		await first.step(inputs, signal);
 		store.put(Topic.Duties, DutyKey.Claim, JSON.stringify({holder: 'other'}));
 		expect(await first.recordUsage(new Uint8Array([1]), signal)).toBe(false);
 	});
 
-	it('does not act on a read that left records unread, since another\'s claim may be among them', async () => {
+	it('is not confirmed by a read that leaves records unread, since another daemon\'s claim may be among them', async () => {
 		const {store, time, first, inputs} = createPair();
 		await first.step(inputs, signal);
 		store.put(Topic.Duties, DutyKey.Claim, JSON.stringify({holder: 'b'}));
--- a/src/coordination/__tests__/duty-runner.test.ts
+++ b/src/coordination/__tests__/duty-runner.test.ts
@@ -6,7 +6,7 @@
 import {RouteTable} from '../../state/route-table.js';
 import {FakeStore} from '../../testing/fake-store.js';
 import {DutyLease} from '../duty-lease.js';
-import {DutyRunner, isListSettled} from '../duty-runner.js';
+import {DutyRunner, isListComplete} from '../duty-runner.js';
 import {PoolDemand} from '../pool-demand.js';
 import {UsageLedger} from '../usage-ledger.js';
 
@@ -17,7 +17,7 @@
 };
 const {signal} = new AbortController();
 
-/** A holder of the duties whose list of backend servers has been followed for some time. */
+/** A holder of the duties with a list of backend servers that the test fills. */
 async function createRunner() {
 	const time = {ms: 100_000};
 	const clock = new SteadyClock({monotonicMs: () => time.ms, wallMs: () => time.ms, uptimeMs: () => time.ms});
@@ -68,7 +68,7 @@
 	};
 }
 
-/** Two daemons at one store and a cloud that checks no fencing token; each has a usage report to send every window. */
+/** Two daemons that share a store and a cloud without fencing checks; each has a usage report to send for every window. */
 function createUnfencedPair() {
 	const time = {ms: 100_000};
 	const clock = new SteadyClock({monotonicMs: () => time.ms, wallMs: () => time.ms, uptimeMs: () => time.ms});
@@ -76,7 +76,7 @@
 	const calls: Array<{holder: string; token: number; atMs: number}> = [];
 	const routes = new RouteTable();
 	const daemons = ['a', 'b'].map(name => {
-		/** The daemon's way to the store, which a test can cut. */
+		/** The daemon's connection to the store, which a test can interrupt. */
 		const ownStore = Object.create(store) as FakeStore;
 		const lease = new DutyLease(ownStore, name, 3000, clock);
 		const usage = new UsageLedger('fd-a', name, 5000);
@@ -97,19 +97,19 @@
 	return {daemons, calls, time};
 }
 
-describe('isListSettled', () => {
+describe('isListComplete', () => {
 	it.each([
 		{followedForMs: 2000, unchangedForMs: 2000, expected: false},
 		{followedForMs: 3000, unchangedForMs: 500, expected: false},
 		{followedForMs: 3000, unchangedForMs: 1500, expected: true},
 		{followedForMs: 9000, unchangedForMs: 100, expected: true},
-	])('followed for $followedForMs ms, unchanged for $unchangedForMs: $expected', ({expected, ...list}) => {
-		expect(isListSettled(list)).toBe(expected);
+	])('is $expected after $followedForMs ms of following and $unchangedForMs ms without additions', ({expected, ...list}) => {
+		expect(isListComplete(list)).toBe(expected);
 	});
 });
 
 describe('DutyRunner', () => {
-	it('orders nothing from a list that is still filling, and gives up none of what it then finds before it is replaced', async () => {
+	it('orders nothing from an incomplete list, and then releases no VM before its replacement is ordered', async () => {
 		const {runner, orders, list, state} = await createRunner();
 		list(3);
 		await runner.step(signal);
@@ -125,12 +125,12 @@
 	});
 });
 
-describe('where the platform checks no fencing token', () => {
+describe('on a platform without fencing checks', () => {
 	it.each([
-		{name: 'the holder is cut off and comes back', cuts: [{daemon: 0, fromMs: 11_000, untilMs: 25_000}]},
-		{name: 'both are cut off in turn', cuts: [{daemon: 0, fromMs: 11_000, untilMs: 18_000}, {daemon: 1, fromMs: 25_000, untilMs: 35_000}]},
-		{name: 'the cuts are shorter than a lease', cuts: [{daemon: 0, fromMs: 11_000, untilMs: 13_000}, {daemon: 0, fromMs: 14_500, untilMs: 17_500}]},
-	])('no daemon acts under a lower token, nor twice around another within a lease, as $name', async ({cuts}) => {
+		{name: 'the holder loses the store and regains it', cuts: [{daemon: 0, fromMs: 11_000, untilMs: 25_000}]},
+		{name: 'both daemons lose the store in turn', cuts: [{daemon: 0, fromMs: 11_000, untilMs: 18_000}, {daemon: 1, fromMs: 25_000, untilMs: 35_000}]},
+		{name: 'the interruptions are shorter than a lease', cuts: [{daemon: 0, fromMs: 11_000, untilMs: 13_000}, {daemon: 0, fromMs: 14_500, untilMs: 17_500}]},
+	])('no daemon acts under a lower token, or before and after another one within a lease, when $name', async ({cuts}) => {
 		const {daemons, calls, time} = createUnfencedPair();
 		const startMs = time.ms;
 		for (; time.ms < startMs + 60_000; time.ms += 100) {
@@ -144,7 +144,7 @@
 					daemon.lease.hear(news, time.ms);
 				}
 
-				// eslint-disable-next-line no-await-in-loop -- steps in the order of time.
+				// eslint-disable-next-line no-await-in-loop -- the steps run in time order.
 				await daemon.lease.step({rank: index, hearsMost: true, startedAtMs: startMs}, signal).catch(() => undefined);
 				// eslint-disable-next-line no-await-in-loop
 				await daemon.runner.step(signal).catch(() => undefined);
--- a/src/coordination/__tests__/lease.test.ts
+++ b/src/coordination/__tests__/lease.test.ts
@@ -8,7 +8,7 @@
 const leaseMs = 1000;
 const at = (ms: number): Instant => ({monotonicMs: ms, wallMs: ms});
 
-/** Two gateways over one in-memory log; each reads and writes when the test says so. */
+/** Two gateways that share an in-memory log; the test decides when each reads and writes. */
 class Pair {
 	readonly log: LeaseRecord[] = [];
 	readonly keepers = ['a', 'b'].map(holder => new LeaseKeeper({
@@ -17,7 +17,7 @@
 
 	private readonly read = [0, 0];
 
-	/** Reads to the end of the log, then writes what the keeper would. */
+	/** Reads to the end of the log, writes the gateway's next record if there is one, and reads again. */
 	step(index: number, now: Instant): void {
 		this.catchUp(index, now);
 		this.write(index, now);
@@ -46,7 +46,7 @@
 describe('the controller lease', () => {
 	it.each([
 		{
-			name: 'goes to the first claim in log order', run(pair: Pair) {
+			name: 'is won by the first claim in log order', run(pair: Pair) {
 				pair.write(0, at(600));
 				pair.write(1, at(600));
 				pair.catchUp(0, at(610));
@@ -62,13 +62,13 @@
 			}, at: at(4010), holders: ['a'],
 		},
 		{
-			name: 'is not acted on by a holder that cannot renew, before anyone else may claim', run(pair: Pair) {
+			name: 'is no longer used by a holder that cannot renew, before another gateway may claim', run(pair: Pair) {
 				pair.step(0, at(600));
 				pair.step(1, at(600));
 			}, at: at(600 + (leaseMs * 0.9)), holders: [],
 		},
 		{
-			name: 'goes to another once it lapsed', run(pair: Pair) {
+			name: 'goes to another gateway once it expired', run(pair: Pair) {
 				pair.step(0, at(600));
 				for (let ms = 600; ms <= 3000; ms += 100) {
 					pair.step(1, at(ms));
@@ -76,12 +76,12 @@
 			}, at: at(3010), holders: ['b'],
 		},
 		{
-			name: 'is not acted on after a suspension that only the time of day shows', run(pair: Pair) {
+			name: 'is not used after a suspension that only the wall clock shows', run(pair: Pair) {
 				pair.step(0, at(600));
 			}, at: {monotonicMs: 610, wallMs: 600 + leaseMs}, holders: [],
 		},
 		{
-			name: 'is lost by a holder that wakes and renews too late', run(pair: Pair) {
+			name: 'is lost by a holder that resumes and renews too late', run(pair: Pair) {
 				pair.step(0, at(600));
 				for (let ms = 600; ms <= 3000; ms += 100) {
 					pair.step(1, at(ms));
@@ -106,13 +106,13 @@
 	kind: LeaseRecordKind.Claim, id: `claim-${base}`, holder: 'b', base,
 });
 
-describe('a lease reader that starts after old records expired', () => {
+describe('a lease reader that starts after older records expired', () => {
 	it.each([
 		{name: 'is uncertain after one record', records: [renew(40)], certain: false},
-		{name: 'is certain once a record follows one it read', records: [renew(40), renew(50)], certain: true},
-		{name: 'is not misled by a claim that lost before', records: [claim(30), renew(40), renew(51)], certain: true},
-		{name: 'is not misled by a claim that lost after', records: [renew(40), claim(40), renew(50)], certain: true},
-		{name: 'is not misled by claims that lost before and after', records: [claim(40), renew(45), claim(40), renew(51)], certain: true},
+		{name: 'is certain once a record follows one that it has read', records: [renew(40), renew(50)], certain: true},
+		{name: 'ignores a losing claim before the valid records', records: [claim(30), renew(40), renew(51)], certain: true},
+		{name: 'ignores a losing claim between the valid records', records: [renew(40), claim(40), renew(50)], certain: true},
+		{name: 'ignores losing claims before and between the valid records', records: [claim(40), renew(45), claim(40), renew(51)], certain: true},
 	])('$name', ({records, certain}) => {
 		const table = new LeaseTable();
 		table.skipTo(50);
--- a/src/coordination/__tests__/topic-follower.test.ts
+++ b/src/coordination/__tests__/topic-follower.test.ts
@@ -52,7 +52,7 @@
 		expect(seen).toEqual(['reset a', 'b']);
 	});
 
-	it('starts over when the records it needs are no longer kept', async () => {
+	it('reads the newest records again when the ones that it needs are no longer kept', async () => {
 		const store = new FakeStore();
 		store.put(Topic.Config, 'a', '1');
 		const {seen, stop} = follow(store);
@@ -65,7 +65,7 @@
 		expect(seen.join(' ')).toContain('b');
 	});
 
-	it('lets the view age while the store is down and confirms it when it is back', async () => {
+	it('lets the view age while the store is down and confirms it once the store answers again', async () => {
 		const store = new FakeStore();
 		const {belief, stop, clock} = follow(store);
 		await waitUntil(async () => belief.isKnown, 1000);
@@ -77,8 +77,8 @@
 	});
 });
 
-describe('a TopicFollower that the store turns away', () => {
-	it('asks less and less often, and reads within a second once it is let in', async () => {
+describe('a TopicFollower whose reads the store rejects', () => {
+	it('reads less and less often, and confirms its view within a second once the store answers', async () => {
 		const store = new FakeStore();
 		const {belief, stop, clock} = follow(store);
 		await waitUntil(async () => belief.isKnown, 1000);
@@ -92,7 +92,7 @@
 });
 
 describe('a TopicFollower of a topic that grows faster than it is read', () => {
-	it('lets its view age while the store has more than it brought', async () => {
+	it('lets its view age while a read returns fewer records than the store has', async () => {
 		const store = new FakeStore();
 		const {belief, stop, clock} = follow(store);
 		await waitUntil(async () => belief.isKnown, 1000);
@@ -105,9 +105,9 @@
 	});
 
 	it.each([
-		{name: 'every one', isNewestEnough: false, passes: 20},
-		{name: 'the newest one', isNewestEnough: true, passes: 1},
-	])('takes $name of the records that one read does not bring', async ({isNewestEnough, passes}) => {
+		{name: 'every record', isNewestEnough: false, passes: 20},
+		{name: 'only the newest record', isNewestEnough: true, passes: 1},
+	])('applies $name when one read does not return all of them', async ({isNewestEnough, passes}) => {
 		const store = new FakeStore();
 		store.mostRecords = 1;
 		const {belief, seen, stop, follower} = follow(store, {isNewestEnough});
@@ -123,11 +123,11 @@
 	});
 });
 
-describe('a TopicFollower that relays tell', () => {
+describe('a TopicFollower that receives updates from relays', () => {
 	const value = new TextEncoder().encode('v');
 
-	/** One that has read two records and is confirmed by a relay from now on. */
-	async function startCarried(): Promise<Following & {store: FakeStore; confirm: (next: number, ageMs?: number) => void}> {
+	/** Starts a follower that has read two records and whose view a relay then confirms. */
+	async function startRelayConfirmed(): Promise<Following & {store: FakeStore; confirm: (next: number, ageMs?: number) => void}> {
 		const store = new FakeStore();
 		store.put(Topic.Config, 'a', '1');
 		store.put(Topic.Config, 'b', '1');
@@ -143,12 +143,12 @@
 		return {...following, store, confirm};
 	}
 
-	it('reads nothing while they confirm its view, and reads again when they stop', async () => {
-		const {store, stop, confirm, belief, clock} = await startCarried();
+	it('does not read the store while they confirm its view, and reads again when they stop', async () => {
+		const {store, stop, confirm, belief, clock} = await startRelayConfirmed();
 		const readsBefore = store.reads;
 		for (let index = 0; index < 6; index++) {
 			confirm(2);
-			// eslint-disable-next-line no-await-in-loop -- in time.
+			// eslint-disable-next-line no-await-in-loop -- the confirmations are spaced in time.
 			await delay(50);
 		}
 
@@ -160,9 +160,9 @@
 
 	it.each([
 		{name: 'a relay whose own view is too old', next: 2, ageMs: 5000},
-		{name: 'a relay that tells of a record and does not hand it on', next: 3, ageMs: 0},
-	])('reads for itself after $name', async ({next, ageMs}) => {
-		const {store, stop, seen, confirm} = await startCarried();
+		{name: 'a relay that reports a record without including it', next: 3, ageMs: 0},
+	])('reads the store after an update of $name', async ({next, ageMs}) => {
+		const {store, stop, seen, confirm} = await startRelayConfirmed();
 		store.put(Topic.Config, 'c', '1');
 		const readsBefore = store.reads;
 		await delay(300);
@@ -172,8 +172,8 @@
 		expect(seen.length).toBeGreaterThan(0);
 	});
 
-	it('takes the records that a relay hands on, each once and in order', async () => {
-		const {seen, stop, clock, follower} = await startCarried();
+	it('applies the records that a relay sends, each once and in order', async () => {
+		const {seen, stop, clock, follower} = await startRelayConfirmed();
 		const before = seen.length;
 		const first = [2, 'c', value] as [number, string, Uint8Array];
 		const second = [3, 'd', value] as [number, string, Uint8Array];
@@ -186,8 +186,8 @@
 		stop.abort();
 	});
 
-	it('takes a view to be as old as the relay says, from when it asked', async () => {
-		const {stop, clock, belief, follower} = await startCarried();
+	it('takes its view to be as old as the relay reports, counted from when the request was sent', async () => {
+		const {stop, clock, belief, follower} = await startRelayConfirmed();
 		const nowMs = clock.now();
 		follower.hear({next: 2, ageMs: 100, records: []}, nowMs + 1000, nowMs + 1200);
 		expect(belief.ageMs(nowMs + 1200)).toBeCloseTo(300, 0);
--- a/src/coordination/chunk-sequencer.ts
+++ b/src/coordination/chunk-sequencer.ts
@@ -6,11 +6,11 @@
 import {CoordinationError} from './errors.js';
 
 /** Chunks held for one run while an earlier one is missing; more than this is a broken run. */
-export const maxHeldChunks = 1024;
+export const maxBufferedChunks = 1024;
 
 /** The reorder buffer of one run. */
 export class ChunkSequencer {
-	private readonly held = new Map<number, EngineChunk>();
+	private readonly buffered = new Map<number, EngineChunk>();
 
 	/** @param next The sequence number that is due first. */
 	constructor(private next: number) {}
@@ -26,16 +26,16 @@
 			return [];
 		}
 
-		this.held.set(chunk.seq, chunk);
+		this.buffered.set(chunk.seq, chunk);
 		const due: EngineChunk[] = [];
-		for (let head = this.held.get(this.next); head; head = this.held.get(this.next)) {
-			this.held.delete(this.next);
+		for (let next = this.buffered.get(this.next); next; next = this.buffered.get(this.next)) {
+			this.buffered.delete(this.next);
 			this.next++;
-			due.push(head);
+			due.push(next);
 		}
 
-		if (this.held.size > maxHeldChunks) {
-			throw new CoordinationError(`${this.held.size} chunks wait for chunk ${this.next}`);
+		if (this.buffered.size > maxBufferedChunks) {
+			throw new CoordinationError(`${this.buffered.size} chunks wait for chunk ${this.next}`);
 		}
 
 		return due;
--- a/src/coordination/completions.ts
+++ b/src/coordination/completions.ts
@@ -16,7 +16,7 @@
 import {type BackendDirectory, type BackendEntry} from './backend-directory.js';
 import {type LoadTracker} from './load-tracker.js';
 import {ChunkSequencer} from './chunk-sequencer.js';
-import {type CompletionJob, Flight} from './flight.js';
+import {type CompletionJob, ActiveCompletion} from './flight.js';
 import {defaultRetryBound, RepeatPurpose, RetryAllowance} from './retry-allowance.js';
 import {chooseBackend, defaultAffinitySlack, servesModel} from './router.js';
 import {
@@ -28,10 +28,10 @@
 /** Failed runs of one request before the gateway gives up. */
 export const maxFailures = 3;
 /** How long a begun request waits for an engine to become available, in milliseconds. */
-export const patienceMs = 10_000;
-const patiencePollMs = 100;
+export const engineWaitMs = 10_000;
+const engineWaitPollMs = 100;
 /** How often the requests on a leaving engine are looked at, in milliseconds. */
-const evacuationStepMs = 200;
+const drainPollMs = 200;
 
 /** One token delivered to the caller. */
 export type Token = {
@@ -57,18 +57,18 @@
 	/** Streams moved ahead of a reclaim, and those of them whose KV cache moved along. */
 	moves = 0;
 	kvMoves = 0;
-	private readonly flights = new Set<Flight>();
+	private readonly active = new Set<ActiveCompletion>();
 	private readonly retries = new RetryAllowance(defaultRetryBound);
 
 	constructor(private readonly context: CompletionsContext) {
 		context.directory.onLeaving(entry => {
-			void this.evacuate(entry);
+			void this.drainEngine(entry);
 		});
 	}
 
 	/** Requests being served. */
 	get inFlight(): number {
-		return this.flights.size;
+		return this.active.size;
 	}
 
 	/** Whether the gateway knows an engine for this model. */
@@ -91,17 +91,17 @@
 	 * @throws {StreamBrokenError} When it gave up after some tokens were delivered.
 	 */
 	async * stream(job: CompletionJob, signal: AbortSignal): AsyncGenerator<Token> {
-		const flight = new Flight(job, signal, stalled => stalled.failures + 1 < maxFailures && this.hasOtherEngine(stalled));
-		this.flights.add(flight);
+		const flight = new ActiveCompletion(job, signal, stalled => stalled.failures + 1 < maxFailures && this.hasOtherEngine(stalled));
+		this.active.add(flight);
 		this.retries.countRequest(job.model, Date.now());
 		try {
 			while (flight.delivered < job.maxTokens) {
 				// eslint-disable-next-line no-await-in-loop -- each run goes on where the last one stopped.
-				const engine = await this.place(flight);
+				const engine = await this.placeRun(flight);
 				yield * this.run(flight, engine);
 			}
 		} finally {
-			this.flights.delete(flight);
+			this.active.delete(flight);
 		}
 	}
 
@@ -113,10 +113,10 @@
 	}
 
 	/** Runs a request on one engine until it ends there, fails there, or is moved away. */
-	private async * run(flight: Flight, engine: BackendServer): AsyncGenerator<Token> {
+	private async * run(flight: ActiveCompletion, engine: BackendServer): AsyncGenerator<Token> {
 		const {job} = flight;
 		const sequencer = new ChunkSequencer(flight.delivered);
-		const runSignal = flight.begin(engine);
+		const runSignal = flight.beginRun(engine);
 		try {
 			const chunks = streamCompletion(engine.url, {
 				model: job.model,
@@ -145,17 +145,17 @@
 				throw new CoordinationError(`engine ${engine.id} ended the stream at ${flight.delivered} of ${job.maxTokens}`);
 			}
 		} catch (error) {
-			await this.noteFailedRun(flight, engine, error);
+			await this.handleFailedRun(flight, engine, error);
 		} finally {
-			flight.end();
+			flight.endRun();
 		}
 	}
 
 	/** Chooses the engine of the next run, and brings the KV cache there after an export. */
-	private async place(flight: Flight): Promise<BackendServer> {
-		const engine = await this.choose(flight);
+	private async placeRun(flight: ActiveCompletion): Promise<BackendServer> {
+		const engine = await this.chooseEngine(flight);
 		this.context.loads.noteDispatch(engine.id);
-		const source = flight.takeExport();
+		const source = flight.takeExportSource();
 		if (source === undefined) {
 			if (flight.runs > 0) {
 				this.resumes++;
@@ -182,9 +182,9 @@
 	}
 
 	/** Chooses an engine; a request that has begun waits a while for one to become available. */
-	private async choose(flight: Flight): Promise<BackendServer> {
+	private async chooseEngine(flight: ActiveCompletion): Promise<BackendServer> {
 		const {loads, affinitySlack} = this.context;
-		const deadlineMs = performance.now() + patienceMs;
+		const deadlineMs = performance.now() + engineWaitMs;
 		for (;;) {
 			flight.signal.throwIfAborted();
 			try {
@@ -198,19 +198,19 @@
 				});
 			} catch (error) {
 				if (!flight.hasBegun || performance.now() > deadlineMs) {
-					throw this.giveUp(flight, error);
+					throw this.createFinalError(flight, error);
 				}
 			}
 
 			// An engine that failed before may have come back.
 			flight.failedEngines.clear();
 			// eslint-disable-next-line no-await-in-loop
-			await delay(patiencePollMs, undefined, {signal: flight.signal});
+			await delay(engineWaitPollMs, undefined, {signal: flight.signal});
 		}
 	}
 
 	/** Whether an engine other than the one it runs at takes work for a stream now. */
-	private hasOtherEngine(flight: Flight): boolean {
+	private hasOtherEngine(flight: ActiveCompletion): boolean {
 		return this.enginesFor(flight.job.model).some(engine => engine.id !== flight.engine?.id && !flight.failedEngines.has(engine.id));
 	}
 
@@ -219,7 +219,7 @@
 		return directory.takingWork(BackendKind.Engine).filter(engine => servesModel(engine, loads.views.get(engine.id), model));
 	}
 
-	private async noteFailedRun(flight: Flight, engine: BackendServer, error: unknown): Promise<void> {
+	private async handleFailedRun(flight: ActiveCompletion, engine: BackendServer, error: unknown): Promise<void> {
 		if (flight.signal.aborted) {
 			throw error;
 		}
@@ -237,11 +237,11 @@
 		});
 		const isRetryAllowed = flight.hasDelivered || this.retries.take(flight.job.model, RepeatPurpose.Retry, 1, Date.now());
 		if (flight.failures >= maxFailures || !isRetryAllowed) {
-			throw this.giveUp(flight, error);
+			throw this.createFinalError(flight, error);
 		}
 	}
 
-	private giveUp(flight: Flight, cause: unknown): CoordinationError {
+	private createFinalError(flight: ActiveCompletion, cause: unknown): CoordinationError {
 		if (flight.hasDelivered) {
 			return new StreamBrokenError(flight.delivered, {cause});
 		}
@@ -253,7 +253,7 @@
 	}
 
 	/** Moves the requests on a leaving engine away until it is gone: some reach it late, and some turn out too slow to finish there. */
-	private async evacuate({backend, leavesAtMs}: BackendEntry): Promise<void> {
+	private async drainEngine({backend, leavesAtMs}: BackendEntry): Promise<void> {
 		if (leavesAtMs === undefined) {
 			return;
 		}
@@ -261,28 +261,28 @@
 		let nowMs: number;
 		do {
 			nowMs = Date.now();
-			this.leave(backend, leavesAtMs, nowMs);
+			this.moveRequests(backend, leavesAtMs, nowMs);
 			// eslint-disable-next-line no-await-in-loop
-			await delay(evacuationStepMs, undefined, {ref: false});
+			await delay(drainPollMs, undefined, {ref: false});
 		} while (nowMs < leavesAtMs);
 	}
 
 	/** Moves the requests on a leaving engine away, but for those that will finish there in time. */
-	private leave(backend: BackendServer, leavesAtMs: number, nowMs: number): void {
-		for (const flight of this.flights) {
+	private moveRequests(backend: BackendServer, leavesAtMs: number, nowMs: number): void {
+		for (const flight of this.active) {
 			if (flight.engine?.id !== backend.id || flight.isExporting) {
 				continue;
 			}
 
-			flight.abortAt(leavesAtMs - nowMs);
+			flight.abortAfter(leavesAtMs - nowMs);
 			// An export ends the run here, so another engine has to be there first.
-			if (!flight.finishesBy(leavesAtMs, nowMs) && this.hasOtherEngine(flight)) {
-				flight.export(exportKv(backend.url, flight.engineRequestId));
+			if (!flight.willFinishBy(leavesAtMs, nowMs) && this.hasOtherEngine(flight)) {
+				flight.startExport(exportKv(backend.url, flight.engineRequestId));
 			}
 		}
 	}
 
-	private countRecomputed(flight: Flight, chunk: EngineChunk): void {
+	private countRecomputed(flight: ActiveCompletion, chunk: EngineChunk): void {
 		if (chunk.prefilled !== undefined && (flight.runs > 1 || flight.job.resumeFrom > 0)) {
 			this.recomputedTokens += chunk.prefilled;
 		}
@@ -290,7 +290,7 @@
 }
 
 /** Asks an engine to cancel a request; true only when it confirms that it never began it. */
-async function confirmNotStarted(flight: Flight, engine: BackendServer): Promise<boolean> {
+async function confirmNotStarted(flight: ActiveCompletion, engine: BackendServer): Promise<boolean> {
 	if (flight.hasDelivered) {
 		return false;
 	}
--- a/src/coordination/duty-lease.ts
+++ b/src/coordination/duty-lease.ts
@@ -1,12 +1,14 @@
 /**
- * Which daemon performs the singleton duties. Claims are records on a topic of the
- * platform's store, each appended only if the topic ends where the claimer read it, so log
- * order decides and a claim's offset is its fencing token. The holder acts only while a
- * read confirms that its claim is the newest; a new holder keeps quiet until its
- * predecessor must have noticed.
+ * Elects the daemon that performs the singleton duties. A claim is a record on a topic of
+ * the platform's store. It is appended only if the topic still ends where the claiming
+ * daemon last read it, so log order decides between concurrent claims, and the fencing
+ * token of a claim is derived from its offset. The holder acts only while a recent read
+ * confirms that its claim is the newest. A new holder waits until its predecessor's last
+ * confirmation must have expired.
  *
- * Only the holder reads the topic; the others hear of it from their peers and read when it
- * falls silent. At rest that is one read a second for the whole system.
+ * Only the holder polls the topic. The other daemons learn from their peers' messages that
+ * the holder is alive, and read the topic when it becomes unresponsive. In the steady state
+ * the whole system makes one read per second.
  */
 import {Buffer} from 'node:buffer';
 import {type RecordBatch, type Store, Topic} from '../protocol/platform.js';
@@ -17,22 +19,22 @@
 
 const log = createLogger('lease');
 
-/** The holder acts while the read that confirmed its claim was sent at most this long ago, in milliseconds. */
-const confirmedMs = 1500;
-/** How long a confirming read waits, in milliseconds. */
-const readWaitMs = 600;
-/** Time that the answer to a read may take beyond its wait, in milliseconds. */
-const answerMs = 900;
-/** Records of one read, in bytes: hundreds of claims and usage reports. */
-const mostBytes = 1024 * 1024;
-/** Added to the lease before a new holder acts, in milliseconds: with reads confirmed for 1.5 s, the same daemon cannot act on both sides of another within a lease. */
-const quietMarginMs = 500;
-/** Silence of the holder after which the first other claims, in milliseconds; eight rounds of messages. */
-const silenceMs = 2000;
-/** Each further daemon in rank waits this much longer, in milliseconds. */
-const rankStepMs = 300;
-/** Silence after which a daemon claims although it cannot hear most others, in milliseconds. */
-const isolatedMs = 12_000;
+/** How long a confirmation of the claim stays valid, counted from when the read was sent, in milliseconds. */
+const confirmationValidMs = 1500;
+/** How long the store may hold a confirming read open to wait for new records, in milliseconds. */
+const longPollMs = 600;
+/** Time allowed for the answer to a read in addition to its wait, in milliseconds. */
+const answerTimeoutMs = 900;
+/** Size of the records of one read, in bytes; enough for hundreds of claims and usage reports. */
+const maxReadBytes = 1024 * 1024;
+/** Delay of a new holder's first action in addition to the lease, in milliseconds. Together with confirmations that are valid for 1.5 s, it prevents a daemon from acting both before and after another one within the time of one lease. */
+const takeoverMarginMs = 500;
+/** Time without word of the holder after which the first daemon in rank claims, in milliseconds; eight rounds of messages. */
+const holderTimeoutMs = 2000;
+/** Additional time that each further daemon in rank waits, in milliseconds. */
+const rankDelayMs = 300;
+/** Time without word of the holder after which a daemon claims although most of its peers are silent, in milliseconds. */
+const isolatedTimeoutMs = 12_000;
 
 /** Keys of the topic's records. */
 export enum DutyKey {
@@ -40,55 +42,55 @@
 	Usage = 'usage',
 }
 
-/** A claim as it is written. */
-type WrittenClaim = {holder: string};
+/** The stored form of a claim. */
+type ClaimRecord = {holder: string};
 
 type Claim = {holder: string; token: number; seenAtMs: number};
 
-function isWrittenClaim(value: unknown): value is WrittenClaim {
+function isClaimRecord(value: unknown): value is ClaimRecord {
 	return typeof fieldsOf(value).holder === 'string';
 }
 
-/** What the decision to claim is made from. */
+/** The inputs of the decision whether to claim the duties. */
 export type ClaimInputs = {
-	/** Position of this daemon among those that may claim; undefined for one that leaves it to the relays, which hear of all daemons first. */
+	/** Position of this daemon among those that may claim; undefined for a daemon that leaves claims to the relays, which receive all daemons' updates first. */
 	rank: number | undefined;
 	hearsMost: boolean;
-	/** When the holder was last heard of; undefined before the first time. */
-	holderHeardAtMs: number | undefined;
+	/** When the holder was last known to be alive; undefined if it never was. */
+	holderLastSeenAtMs: number | undefined;
 	startedAtMs: number;
 };
 
 /** Whether this daemon should try to claim the duties. */
 export function shouldClaim(inputs: ClaimInputs, nowMs: number): boolean {
-	const {rank, hearsMost, holderHeardAtMs, startedAtMs} = inputs;
+	const {rank, hearsMost, holderLastSeenAtMs, startedAtMs} = inputs;
 	if (rank === undefined) {
 		return false;
 	}
 
-	const silentForMs = nowMs - (holderHeardAtMs ?? startedAtMs);
+	const silentForMs = nowMs - (holderLastSeenAtMs ?? startedAtMs);
 	if (!hearsMost) {
-		return silentForMs > isolatedMs;
+		return silentForMs > isolatedTimeoutMs;
 	}
 
-	// Where no holder was ever heard of, the first in rank need not wait.
-	const neededMs = holderHeardAtMs === undefined ? rankStepMs : silenceMs;
-	return silentForMs > neededMs + (rank * rankStepMs);
+	// If no holder was ever seen, the first daemon in rank need not wait for one to time out.
+	const timeoutMs = holderLastSeenAtMs === undefined ? rankDelayMs : holderTimeoutMs;
+	return silentForMs > timeoutMs + (rank * rankDelayMs);
 }
 
-/** This daemon's part in the election. */
+/** This daemon's participation in the election. */
 export class DutyLease {
-	private next: number | undefined;
-	private newest: Claim | undefined;
+	private nextOffset: number | undefined;
+	private newestClaim: Claim | undefined;
 	private confirmedAtMs = Number.NEGATIVE_INFINITY;
-	private holderHeardAtMs: number | undefined;
-	private quietUntilMs = 0;
+	private holderLastSeenAtMs: number | undefined;
+	private mayActFromMs = 0;
 	private wasActing = false;
-	private lastUsage: Uint8Array | undefined;
+	private lastUsageRecord: Uint8Array | undefined;
 
 	/**
-	 * @param holder Unique to this start of this daemon.
-	 * @param leaseMs Two daemons may not act by turns within this time.
+	 * @param holder An id that is unique to this start of this daemon.
+	 * @param leaseMs Time after an action of one holder during which no other may act, in milliseconds.
 	 */
 	constructor(
 		private readonly store: Store,
@@ -97,66 +99,66 @@
 		private readonly clock: SteadyClock,
 	) {}
 
-	/** The newest record of a decided usage report. */
+	/** The newest record of a committed usage report. */
 	get usageRecord(): Uint8Array | undefined {
-		return this.lastUsage;
+		return this.lastUsageRecord;
 	}
 
-	/** The fencing token, while this daemon may act. */
+	/** Returns the fencing token while this daemon may act, otherwise undefined. */
 	tokenAt(nowMs: number): number | undefined {
-		const isActing = this.isConfirmedAt(nowMs) && nowMs >= this.quietUntilMs;
+		const isActing = this.isConfirmedAt(nowMs) && nowMs >= this.mayActFromMs;
 		if (isActing !== this.wasActing) {
 			this.wasActing = isActing;
-			log.info(isActing ? 'acting.' : 'not acting.', {token: this.newest?.token, holder: this.newest?.holder, viewAgeMs: Math.round(nowMs - this.confirmedAtMs)});
+			log.info(isActing ? 'started to perform the duties.' : 'stopped performing the duties.', {token: this.newestClaim?.token, holder: this.newestClaim?.holder, viewAgeMs: Math.round(nowMs - this.confirmedAtMs)});
 		}
 
-		return isActing ? this.newest!.token : undefined;
+		return isActing ? this.newestClaim!.token : undefined;
 	}
 
-	/** Whether a read confirmed not long ago that this daemon's claim is the newest. */
+	/** Whether a recent read confirmed that this daemon's claim is the newest. */
 	isConfirmedAt(nowMs: number): boolean {
-		return this.isHolder && nowMs - this.confirmedAtMs <= confirmedMs;
+		return this.isHolder && nowMs - this.confirmedAtMs <= confirmationValidMs;
 	}
 
-	/** What this daemon tells its peers of the holder. */
+	/** Returns what this daemon reports to its peers about the holder. */
 	news(nowMs: number): HolderNews | undefined {
 		if (this.isConfirmedAt(nowMs)) {
-			return {token: this.newest!.token, ageMs: 0};
+			return {token: this.newestClaim!.token, ageMs: 0};
 		}
 
-		return this.holderHeardAtMs === undefined || !this.newest || this.isHolder ? undefined : {token: this.newest.token, ageMs: Math.round(nowMs - this.holderHeardAtMs)};
+		return this.holderLastSeenAtMs === undefined || !this.newestClaim || this.isHolder ? undefined : {token: this.newestClaim.token, ageMs: Math.round(nowMs - this.holderLastSeenAtMs)};
 	}
 
-	/** Takes what a peer tells of the holder. */
-	hear(news: HolderNews, nowMs: number): void {
-		if (news.token < (this.newest?.token ?? 0)) {
+	/** Applies a peer's report about the holder. */
+	hear(update: HolderNews, nowMs: number): void {
+		if (update.token < (this.newestClaim?.token ?? 0)) {
 			return;
 		}
 
-		if (news.token > (this.newest?.token ?? 0)) {
-			// The record itself is read when this daemon claims.
-			this.newest = {holder: '', token: news.token, seenAtMs: nowMs};
+		if (update.token > (this.newestClaim?.token ?? 0)) {
+			// The holder's id is unknown until this daemon reads the record, which it does before it claims.
+			this.newestClaim = {holder: '', token: update.token, seenAtMs: nowMs};
 		}
 
-		this.holderHeardAtMs = Math.max(this.holderHeardAtMs ?? Number.NEGATIVE_INFINITY, nowMs - news.ageMs);
+		this.holderLastSeenAtMs = Math.max(this.holderLastSeenAtMs ?? Number.NEGATIVE_INFINITY, nowMs - update.ageMs);
 	}
 
-	/** One step: confirms the claim while it is this daemon's, or claims when `inputs` say so. */
-	async step(inputs: Omit<ClaimInputs, 'holderHeardAtMs'>, signal: AbortSignal): Promise<void> {
+	/** Runs one step of the election: reads the topic to confirm this daemon's claim if it is the newest, otherwise claims if {@link shouldClaim} allows it. */
+	async step(inputs: Omit<ClaimInputs, 'holderLastSeenAtMs'>, signal: AbortSignal): Promise<void> {
 		if (this.isHolder) {
-			await this.refresh(readWaitMs, signal);
+			await this.readClaims(longPollMs, signal);
 			return;
 		}
 
-		if (!shouldClaim({...inputs, holderHeardAtMs: this.holderHeardAtMs}, this.clock.now())) {
+		if (!shouldClaim({...inputs, holderLastSeenAtMs: this.holderLastSeenAtMs}, this.clock.now())) {
 			return;
 		}
 
-		const tokenBefore = this.newest?.token ?? 0;
-		await this.refresh(0, signal);
-		if (this.newest && this.newest.token > tokenBefore) {
-			// Somebody claimed meanwhile, or long before this daemon started: it gets the time to be heard.
-			this.holderHeardAtMs = this.clock.now();
+		const tokenBefore = this.newestClaim?.token ?? 0;
+		await this.readClaims(0, signal);
+		if (this.newestClaim && this.newestClaim.token > tokenBefore) {
+			// Another daemon claimed in the meantime, or before this one started: its updates are given time to arrive.
+			this.holderLastSeenAtMs = this.clock.now();
 			return;
 		}
 
@@ -164,86 +166,86 @@
 	}
 
 	/**
-	 * Appends a decided usage report, unless the topic has moved on.
+	 * Appends a usage report, unless other records were appended since this daemon's last read.
 	 *
-	 * @returns Whether it was appended.
+	 * @returns Whether the report was appended.
 	 */
 	async recordUsage(value: Uint8Array, signal: AbortSignal): Promise<boolean> {
-		const at = this.next;
+		const at = this.nextOffset;
 		const result = await this.store.append(Topic.Duties, {key: DutyKey.Usage, value}, at, signal);
 		if (result.kind === 'conflict') {
 			return false;
 		}
 
-		this.lastUsage = value;
-		// The confirming read may have passed this record already.
-		this.next = Math.max(this.next ?? 0, result.offset + 1);
+		this.lastUsageRecord = value;
+		// A concurrent confirming read may already have read past this record.
+		this.nextOffset = Math.max(this.nextOffset ?? 0, result.offset + 1);
 		return true;
 	}
 
-	/** Gives the duties up: the next confirming read decides again. */
-	doubt(): void {
+	/** Stops acting until the next read confirms the claim again. */
+	discardConfirmation(): void {
 		this.confirmedAtMs = Number.NEGATIVE_INFINITY;
 	}
 
 	private get isHolder(): boolean {
-		return this.newest?.holder === this.holder;
+		return this.newestClaim?.holder === this.holder;
 	}
 
 	private async claim(signal: AbortSignal): Promise<void> {
 		const sentAtMs = this.clock.now();
-		const written: WrittenClaim = {holder: this.holder};
-		const value = Buffer.from(JSON.stringify(written));
-		const result = await this.store.append(Topic.Duties, {key: DutyKey.Claim, value}, this.next, signal);
+		const claimRecord: ClaimRecord = {holder: this.holder};
+		const value = Buffer.from(JSON.stringify(claimRecord));
+		const result = await this.store.append(Topic.Duties, {key: DutyKey.Claim, value}, this.nextOffset, signal);
 		if (result.kind === 'conflict') {
-			log.info('claim lost.', {at: this.next, end: result.end});
-			this.holderHeardAtMs = this.clock.now();
+			log.info('claim rejected, the topic has newer records.', {at: this.nextOffset, end: result.end});
+			this.holderLastSeenAtMs = this.clock.now();
 			return;
 		}
 
-		this.takeClaim(this.holder, result.offset, this.clock.now());
-		this.next = result.offset + 1;
+		this.applyClaim(this.holder, result.offset, this.clock.now());
+		this.nextOffset = result.offset + 1;
 		this.confirmedAtMs = sentAtMs;
-		log.info('claimed.', {token: this.newest?.token, quietMs: Math.round(this.quietUntilMs - this.clock.now())});
+		log.info('claimed the duties.', {token: this.newestClaim?.token, quietMs: Math.round(this.mayActFromMs - this.clock.now())});
 	}
 
-	private async refresh(waitMs: number, signal: AbortSignal): Promise<void> {
+	private async readClaims(waitMs: number, signal: AbortSignal): Promise<void> {
 		const sentAtMs = this.clock.now();
 		let batch: RecordBatch | undefined;
-		if (this.next !== undefined) {
-			batch = await this.store.read(Topic.Duties, this.next, {waitMs, answerMs, mostBytes}, signal);
+		if (this.nextOffset !== undefined) {
+			batch = await this.store.read(Topic.Duties, this.nextOffset, {waitMs, answerMs: answerTimeoutMs, mostBytes: maxReadBytes}, signal);
 		}
 
-		batch ??= await this.store.newest(Topic.Duties, answerMs, signal);
+		batch ??= await this.store.newest(Topic.Duties, answerTimeoutMs, signal);
 		for (const record of batch.records) {
 			if (record.key === String(DutyKey.Claim) && record.value) {
-				const claim = readOwnRecord(record.value, isWrittenClaim, 'claim of the duties');
+				const claim = readOwnRecord(record.value, isClaimRecord, 'claim of the duties');
 				if (claim) {
-					this.takeClaim(claim.holder, record.offset, this.clock.now());
+					this.applyClaim(claim.holder, record.offset, this.clock.now());
 				}
 			} else if (record.key === String(DutyKey.Usage)) {
-				this.lastUsage = record.value;
+				this.lastUsageRecord = record.value;
 			}
 		}
 
-		this.next = Math.max(this.next ?? 0, batch.next);
-		// A claim may be among the records that are still to be read.
+		this.nextOffset = Math.max(this.nextOffset ?? 0, batch.next);
+		// A read that leaves records unread confirms nothing, because another claim may be among them.
 		this.confirmedAtMs = batch.next < batch.end ? this.confirmedAtMs : sentAtMs;
 	}
 
-	private takeClaim(holder: string, offset: number, nowMs: number): void {
+	private applyClaim(holder: string, offset: number, nowMs: number): void {
 		const token = offset + 1;
-		if (token < (this.newest?.token ?? 0) || (token === this.newest?.token && holder === this.newest.holder)) {
+		if (token < (this.newestClaim?.token ?? 0) || (token === this.newestClaim?.token && holder === this.newestClaim.holder)) {
 			return;
 		}
 
 		if (this.isHolder && holder !== this.holder) {
-			log.info('another daemon claimed.', {holder, token, own: this.newest?.token});
-			this.holderHeardAtMs = nowMs;
+			log.info('another daemon claimed the duties.', {holder, token, own: this.newestClaim?.token});
+			this.holderLastSeenAtMs = nowMs;
 		}
 
-		this.newest = {holder, token, seenAtMs: nowMs};
-		// Nobody can have acted before the first claim there is.
-		this.quietUntilMs = offset === 0 ? nowMs : nowMs + this.leaseMs + quietMarginMs;
+		this.newestClaim = {holder, token, seenAtMs: nowMs};
+		// There is no predecessor before the first claim of the topic.
+		this.mayActFromMs = offset === 0 ? nowMs : nowMs + this.leaseMs + takeoverMarginMs;
 	}
 }
--- a/src/coordination/duty-runner.ts
+++ b/src/coordination/duty-runner.ts
@@ -1,10 +1,10 @@
 /**
- * Performs the singleton duties while this daemon holds the lease: the usage report of
- * each window, and the orders that bring each service's pool to its plan.
+ * Performs the singleton duties while this daemon holds the lease: it reports the usage of
+ * each window and orders the VMs that each service's pool plan asks for.
  *
- * A report is decided by appending its counts to the platform's store before it is sent.
- * Whoever holds the lease later repeats the decided counts and never others, so that no
- * window is reported in two ways.
+ * A report is committed by appending its counts to the platform's store before it is sent.
+ * Any later holder repeats the committed counts and never others, so that no window is
+ * reported with two different sets of counts.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -23,35 +23,42 @@
 
 const log = createLogger('duties');
 
-/** Time after a window's end until the counts of all daemons have come, in milliseconds: five rounds of messages. */
-const countsSettleMs = 1300;
-/** Windows looked back for reports that are still due. */
-const reportedBack = 2;
-/** An order is repeated when the pool has not followed it, after the boot time and this, in milliseconds. */
-const orderSettleMs = 2000;
-/** Pause after an order that was not to be had, in milliseconds. */
-const refusedPauseMs = 2500;
-/** The list of backend servers must have been followed for this long before anything is ordered from it, in milliseconds, and must have stopped growing for this long, unless it has been followed for long enough. Backend servers are back within two seconds of the store's return, and register by and by when the system starts: an order made from the first 3 of 90 gave up the others, and one made after 2.5 s, from 33, still most of them. */
-const listSettleMs = 2500;
-const listRestMs = 1500;
-const listFilledMs = 8000;
-/** Pause after an order without an answer, in milliseconds: it may still be carried out. */
-const unknownPauseMs = 3000;
-
-/** A usage report that was decided. */
-type DecidedReport = {window: number; counts: WindowCounts};
-
-function isDecidedReport(value: unknown): value is DecidedReport {
+/** Delay after a window's end until the counts of all daemons have arrived, in milliseconds; five rounds of messages. */
+const countsDelayMs = 1300;
+/** Number of earlier windows whose reports are still sent when they are missing. */
+const lookbackWindows = 2;
+/** Time beyond the boot time after which an order that the pool has not fulfilled is repeated, in milliseconds. */
+const orderGraceMs = 2000;
+/** Pause before an order that was refused for lack of capacity is repeated, in milliseconds. */
+const refusedRetryMs = 2500;
+/**
+ * Time that the list of backend servers must have been followed before orders are based on
+ * it, in milliseconds. Backend servers are listed again within two seconds of the store's
+ * return. While the system starts, they register one by one: an order based on the first
+ * 3 of 90 released the others, and one made after 2.5 s, based on 33, still released most.
+ */
+const minFollowedMs = 2500;
+/** Time for which the list must also have had no additions, in milliseconds. */
+const minUnchangedMs = 1500;
+/** Time of following the list after which additions no longer delay orders, in milliseconds. */
+const longFollowedMs = 8000;
+/** Pause before an order without an answer is repeated, in milliseconds; it may still be carried out. */
+const unansweredRetryMs = 3000;
+
+/** A committed usage report. */
+type CommittedReport = {window: number; counts: WindowCounts};
+
+function isCommittedReport(value: unknown): value is CommittedReport {
 	const {window, counts} = fieldsOf(value);
 	return Number.isInteger(window) && Object.values(fieldsOf(counts)).every(count => typeof count === 'number') && typeof counts === 'object';
 }
 
-/** How long the list of backend servers has been followed without a loss, and how long no new one came, in milliseconds. */
-export type FollowedList = {followedForMs: number; unchangedForMs: number};
+/** How long the list of backend servers has been followed without interruption, and how long it has had no additions, in milliseconds. */
+export type ListStability = {followedForMs: number; unchangedForMs: number};
 
 type OrderState = {count: number; atMs: number; result: DutyResult; token: number};
 
-/** The parts the duties work with. */
+/** The parts of the daemon that the duties depend on. */
 export type DutyParts = {
 	cloud: Cloud;
 	lease: DutyLease;
@@ -61,45 +68,45 @@
 	clock: SteadyClock;
 	name: string;
 	usageWindowMs: number;
-	/** How the list of backend servers has been followed. */
-	list: (nowMs: number) => FollowedList;
-	/** What each service needs now. */
+	/** Returns how stable the list of backend servers is. */
+	list: (nowMs: number) => ListStability;
+	/** Returns the replicas that a service needs now. */
 	need: (service: Service) => PoolNeed;
 };
 
-/** The duties of the holder. */
+/** Performs the duties of the holder. */
 export class DutyRunner {
-	private readonly orders = new Map<string, OrderState>();
-	private sentWindow: number | undefined;
+	private readonly lastOrders = new Map<string, OrderState>();
+	private reportedWindow: number | undefined;
 
 	constructor(private readonly parts: DutyParts) {}
 
-	/** One round of both duties. */
+	/** Performs one round of both duties. */
 	async step(signal: AbortSignal): Promise<void> {
 		await this.reportUsage(signal);
 		await this.orderPools(signal);
 	}
 
-	private holder(): DutyHolder | undefined {
+	private currentHolder(): DutyHolder | undefined {
 		const token = this.parts.lease.tokenAt(this.parts.clock.now());
 		return token === undefined ? undefined : {name: this.parts.name, token};
 	}
 
 	private async reportUsage(signal: AbortSignal): Promise<void> {
 		const {clock, usageWindowMs, usage, lease} = this.parts;
-		if (!this.holder()) {
+		if (!this.currentHolder()) {
 			return;
 		}
 
-		const decided = this.decided();
-		const newest = usage.windowAt(clock.wallNow() - countsSettleMs) - 1;
-		if (decided && decided.window > (this.sentWindow ?? -1) && decided.window >= newest - reportedBack) {
-			await this.sendReport(decided, signal);
+		const committed = this.committedReport();
+		const newestWindow = usage.windowAt(clock.wallNow() - countsDelayMs) - 1;
+		if (committed && committed.window > (this.reportedWindow ?? -1) && committed.window >= newestWindow - lookbackWindows) {
+			await this.sendReport(committed, signal);
 			return;
 		}
 
-		const window = decided ? Math.max(decided.window + 1, newest - reportedBack) : newest;
-		const counts = window <= newest ? usage.total(window) : undefined;
+		const window = committed ? Math.max(committed.window + 1, newestWindow - lookbackWindows) : newestWindow;
+		const counts = window <= newestWindow ? usage.total(window) : undefined;
 		if (!counts) {
 			return;
 		}
@@ -111,8 +118,8 @@
 		}
 	}
 
-	private async sendReport(report: DecidedReport, signal: AbortSignal): Promise<void> {
-		const holder = this.holder();
+	private async sendReport(report: CommittedReport, signal: AbortSignal): Promise<void> {
+		const holder = this.currentHolder();
 		if (!holder) {
 			return;
 		}
@@ -120,26 +127,26 @@
 		const result = await this.parts.cloud.reportUsage(holder, report.window, report.counts, signal);
 		log.info('usage reported.', {window: report.window, result, token: holder.token});
 		if (result === DutyResult.Accepted) {
-			this.sentWindow = report.window;
+			this.reportedWindow = report.window;
 		} else if (result === DutyResult.Refused) {
-			this.parts.lease.doubt();
+			this.parts.lease.discardConfirmation();
 		}
 	}
 
-	private decided(): DecidedReport | undefined {
+	private committedReport(): CommittedReport | undefined {
 		const record = this.parts.lease.usageRecord;
-		return record && readOwnRecord(record, isDecidedReport, 'decided usage report');
+		return record && readOwnRecord(record, isCommittedReport, 'committed usage report');
 	}
 
 	private async orderPools(signal: AbortSignal): Promise<void> {
 		const {clock, list} = this.parts;
-		if (!isListSettled(list(clock.now()))) {
+		if (!isListComplete(list(clock.now()))) {
 			return;
 		}
 
 		for (const service of this.parts.routes.current?.services ?? []) {
 			if (service.scaling) {
-				// eslint-disable-next-line no-await-in-loop -- the platform takes few calls a second.
+				// eslint-disable-next-line no-await-in-loop -- the platform accepts few calls per second.
 				await this.orderPool(service, signal);
 			}
 		}
@@ -148,76 +155,76 @@
 	private async orderPool(service: Service, signal: AbortSignal): Promise<void> {
 		const scaling = service.scaling!;
 		const need = this.parts.need(service);
-		const states = new Map([...scaling.prices.keys()].map(failureDomain => [failureDomain, this.stateOf(service.name, failureDomain, scaling.bootMs)]));
+		const states = new Map([...scaling.prices.keys()].map(failureDomain => [failureDomain, this.domainState(service.name, failureDomain, scaling.bootMs)]));
 		const wanted = planPool(scaling, need, states).flatMap(pool => [
-			// Reclaimable ones first, so that nothing is given up before its replacement is ordered.
+			// Reclaimable VMs come first, so that no VM is released before its replacement is ordered.
 			...(scaling.reclaimablePriceRatio === undefined ? [] : [{failureDomain: pool.failureDomain, isReclaimable: true, count: pool.reclaimable}]),
 			{failureDomain: pool.failureDomain, isReclaimable: false, count: pool.onDemand},
 		]);
 		for (const order of wanted.toSorted((a, b) => Number(b.isReclaimable) - Number(a.isReclaimable))) {
 			// eslint-disable-next-line no-await-in-loop
-			await this.order({service: service.name, ...order}, {bootMs: scaling.bootMs, need}, signal);
+			await this.orderIfDue({service: service.name, ...order}, {bootMs: scaling.bootMs, need}, signal);
 		}
 	}
 
-	/** What a failure domain has, and has been promised. */
-	private stateOf(service: string, failureDomain: string, bootMs: number): DomainState {
+	/** Returns the VMs that a failure domain has or has been promised. */
+	private domainState(service: string, failureDomain: string, bootMs: number): DomainState {
 		const kind = {service, failureDomain, isReclaimable: true};
-		const serving = this.present(kind);
-		const last = this.orders.get(orderKey(kind));
-		const isBooting = last?.result === DutyResult.Accepted && this.parts.clock.now() - last.atMs < bootMs + orderSettleMs;
+		const serving = this.countPresent(kind);
+		const last = this.lastOrders.get(orderKey(kind));
+		const isBooting = last?.result === DutyResult.Accepted && this.parts.clock.now() - last.atMs < bootMs + orderGraceMs;
 		const onDemandKind = {...kind, isReclaimable: false};
 		return {
 			serving,
 			expected: isBooting ? Math.max(serving, last.count) : serving,
-			// A new holder starts from what there is.
-			onDemand: this.orders.get(orderKey(onDemandKind))?.count ?? this.present(onDemandKind),
+			// A new holder starts from the VMs that are present.
+			onDemand: this.lastOrders.get(orderKey(onDemandKind))?.count ?? this.countPresent(onDemandKind),
 		};
 	}
 
-	private present(kind: Omit<PoolOrder, 'count'>): number {
+	private countPresent(kind: Omit<PoolOrder, 'count'>): number {
 		return this.parts.backends.listed().filter(({backend, leavingSinceMs}) => leavingSinceMs === undefined
 			&& backend.service === kind.service && backend.failureDomain === kind.failureDomain && backend.isReclaimable === kind.isReclaimable).length;
 	}
 
-	private async order(order: PoolOrder, {bootMs, need}: {bootMs: number; need: PoolNeed}, signal: AbortSignal): Promise<void> {
+	private async orderIfDue(order: PoolOrder, {bootMs, need}: {bootMs: number; need: PoolNeed}, signal: AbortSignal): Promise<void> {
 		const {clock, cloud} = this.parts;
-		const holder = this.holder();
+		const holder = this.currentHolder();
 		const key = orderKey(order);
-		const last = this.orders.get(key);
+		const last = this.lastOrders.get(key);
 		const nowMs = clock.now();
-		const present = this.present(order);
+		const present = this.countPresent(order);
 		if (!holder || !isOrderDue(order.count, present, last, {bootMs, nowMs, token: holder.token})) {
 			return;
 		}
 
 		const result = await cloud.orderPool(holder, order, signal);
-		this.orders.set(key, {
+		this.lastOrders.set(key, {
 			count: order.count, atMs: clock.now(), result, token: holder.token,
 		});
 		log.info('pool ordered.', {
 			...order, present, needed: need.replicas, result, token: holder.token,
 		});
 		if (result === DutyResult.Refused && !order.isReclaimable) {
-			// On-demand VMs are always to be had: a refusal means a higher token.
-			this.parts.lease.doubt();
+			// On-demand VMs are always available, so a refusal means that a higher fencing token exists.
+			this.parts.lease.discardConfirmation();
 		}
 	}
 }
 
-/** Whether the list of backend servers can be taken to have all there are. */
-export function isListSettled({followedForMs, unchangedForMs}: FollowedList): boolean {
-	return followedForMs >= listFilledMs || (followedForMs >= listSettleMs && unchangedForMs >= listRestMs);
+/** Whether the list of backend servers can be assumed to be complete. */
+export function isListComplete({followedForMs, unchangedForMs}: ListStability): boolean {
+	return followedForMs >= longFollowedMs || (followedForMs >= minFollowedMs && unchangedForMs >= minUnchangedMs);
 }
 
 function orderKey(kind: Omit<PoolOrder, 'count'>): string {
 	return `${kind.service}/${kind.failureDomain}/${kind.isReclaimable ? 'reclaimable' : 'on-demand'}`;
 }
 
-/** Whether an order must be given: it is new, or the pool has not followed the last one in time. */
+/** Whether an order must be sent: it is new, or the pool has not fulfilled the last one in time. */
 export function isOrderDue(wanted: number, present: number, last: OrderState | undefined, at: {bootMs: number; nowMs: number; token: number}): boolean {
 	if (!last) {
-		// A new holder does not know what its predecessor ordered last.
+		// A new holder does not know what its predecessor last ordered.
 		return true;
 	}
 
@@ -227,14 +234,14 @@
 
 	const ageMs = at.nowMs - last.atMs;
 	if (last.result === DutyResult.Refused) {
-		return ageMs > refusedPauseMs && present !== wanted;
+		return ageMs > refusedRetryMs && present !== wanted;
 	}
 
 	if (last.result !== DutyResult.Accepted) {
-		return ageMs > unknownPauseMs;
+		return ageMs > unansweredRetryMs;
 	}
 
-	return last.count !== wanted || (present < wanted && ageMs > at.bootMs + orderSettleMs);
+	return last.count !== wanted || (present < wanted && ageMs > at.bootMs + orderGraceMs);
 }
 
 function sumOf(counts: WindowCounts): number {
--- a/src/coordination/flight.ts
+++ b/src/coordination/flight.ts
@@ -10,7 +10,7 @@
 const log = createLogger('completions');
 
 /** Longest pause between two tokens of a running stream, in milliseconds. */
-export const stallMs = 5000;
+export const stallTimeoutMs = 5000;
 /** Slack kept between a stream's expected end and its VM's, in milliseconds. */
 export const finishMarginMs = 1000;
 
@@ -28,7 +28,7 @@
 };
 
 /** The state of one completion being served. */
-export class Flight {
+export class ActiveCompletion {
 	/** The next token the caller needs. */
 	delivered: number;
 	/** Runs begun on engines so far. */
@@ -39,20 +39,20 @@
 	readonly failedEngines = new Set<string>();
 	/** The engine of the run in progress. */
 	engine: BackendServer | undefined;
-	private run = new AbortController();
-	private exporting: Promise<KvSnapshot | undefined> | undefined;
-	private exportedFrom: BackendServer | undefined;
-	private leaveTimer: NodeJS.Timeout | undefined;
+	private runController = new AbortController();
+	private pendingExport: Promise<KvSnapshot | undefined> | undefined;
+	private exportSource: BackendServer | undefined;
+	private vmGoneTimer: NodeJS.Timeout | undefined;
 	private stallTimer: NodeJS.Timeout | undefined;
 	private firstTokenMs: number | undefined;
 	private lastTokenMs = 0;
 	private tokensThisRun = 0;
 
-	/** @param mayGoOnElsewhere Whether an engine could go on with it now. */
+	/** @param canResumeElsewhere Whether an engine could go on with it now. */
 	constructor(
 		readonly job: CompletionJob,
 		readonly signal: AbortSignal,
-		private readonly mayGoOnElsewhere: (flight: Flight) => boolean,
+		private readonly canResumeElsewhere: (flight: ActiveCompletion) => boolean,
 	) {
 		this.delivered = job.resumeFrom;
 	}
@@ -71,21 +71,21 @@
 	}
 
 	/** Begins a run; its signal aborts with the request, on a stall, or when the VM goes. */
-	begin(engine: BackendServer): AbortSignal {
+	beginRun(engine: BackendServer): AbortSignal {
 		this.engine = engine;
 		this.runs++;
-		this.run = new AbortController();
-		this.exporting = undefined;
+		this.runController = new AbortController();
+		this.pendingExport = undefined;
 		this.firstTokenMs = undefined;
 		this.tokensThisRun = 0;
-		return AbortSignal.any([this.signal, this.run.signal]);
+		return AbortSignal.any([this.signal, this.runController.signal]);
 	}
 
 	/** Ends the run in progress, however it ended, and closes its connection. */
-	end(): void {
-		clearTimeout(this.leaveTimer);
+	endRun(): void {
+		clearTimeout(this.vmGoneTimer);
 		clearTimeout(this.stallTimer);
-		this.run.abort();
+		this.runController.abort();
 		this.engine = undefined;
 	}
 
@@ -95,19 +95,19 @@
 		this.tokensThisRun++;
 		this.firstTokenMs ??= nowMs;
 		this.lastTokenMs = nowMs;
-		this.watchForStall();
+		this.restartStallTimer();
 	}
 
 	/** Aborts the run when its VM goes, should its connection hang. */
-	abortAt(afterMs: number): void {
-		clearTimeout(this.leaveTimer);
-		this.leaveTimer = setTimeout(() => {
-			this.run.abort(new StalledStreamError('the VM is gone'));
+	abortAfter(afterMs: number): void {
+		clearTimeout(this.vmGoneTimer);
+		this.vmGoneTimer = setTimeout(() => {
+			this.runController.abort(new StalledStreamError('the VM is gone'));
 		}, afterMs);
 	}
 
 	/** Whether, at its pace so far, the stream ends well before `leavesAtMs`. */
-	finishesBy(leavesAtMs: number, nowMs: number): boolean {
+	willFinishBy(leavesAtMs: number, nowMs: number): boolean {
 		if (this.firstTokenMs === undefined || this.tokensThisRun < 2) {
 			return false;
 		}
@@ -119,18 +119,18 @@
 
 	/** Whether the KV cache is being exported, or was. */
 	get isExporting(): boolean {
-		return this.exporting !== undefined;
+		return this.pendingExport !== undefined;
 	}
 
 	/** Notes that the request's KV cache is being exported from its engine; one that fails may be tried again. */
-	export(exporting: Promise<KvSnapshot>): void {
+	startExport(exporting: Promise<KvSnapshot>): void {
 		const {runs} = this;
-		this.exporting = (async () => {
+		this.pendingExport = (async () => {
 			try {
 				return await exporting;
 			} catch (error) {
 				log.warn('KV cache not exported, the stream stays.', {request: this.job.requestId, engine: this.engine?.id, error: String(error)});
-				this.exporting = runs === this.runs ? undefined : this.exporting;
+				this.pendingExport = runs === this.runs ? undefined : this.pendingExport;
 				return undefined;
 			}
 		})();
@@ -139,28 +139,28 @@
 	/** Whether the run ended because its KV cache was exported. */
 	async wasExported(): Promise<boolean> {
 		const source = this.engine;
-		const snapshot = await this.exporting;
-		this.exporting = undefined;
-		this.exportedFrom = snapshot ? source : undefined;
+		const snapshot = await this.pendingExport;
+		this.pendingExport = undefined;
+		this.exportSource = snapshot ? source : undefined;
 		return snapshot !== undefined;
 	}
 
 	/** Takes the engine that holds the exported KV cache, once. */
-	takeExport(): BackendServer | undefined {
-		const source = this.exportedFrom;
-		this.exportedFrom = undefined;
+	takeExportSource(): BackendServer | undefined {
+		const source = this.exportSource;
+		this.exportSource = undefined;
 		return source;
 	}
 
 	/** Ends the run after a pause, unless nothing could go on with it: the engine may still. */
-	private watchForStall(): void {
+	private restartStallTimer(): void {
 		clearTimeout(this.stallTimer);
 		this.stallTimer = setTimeout(() => {
-			if (this.mayGoOnElsewhere(this)) {
-				this.run.abort(new StalledStreamError(`no token for ${stallMs} ms`));
+			if (this.canResumeElsewhere(this)) {
+				this.runController.abort(new StalledStreamError(`no token for ${stallTimeoutMs} ms`));
 			} else {
-				this.watchForStall();
+				this.restartStallTimer();
 			}
-		}, stallMs);
+		}, stallTimeoutMs);
 	}
 }
--- a/src/coordination/journal.ts
+++ b/src/coordination/journal.ts
@@ -25,7 +25,7 @@
 const readBackPollMs = 5;
 
 /** What became of a claim. */
-export enum Claim {
+export enum ClaimOutcome {
 	/** The intent is first for its key: dispatch the call, once. */
 	Won = 'won',
 	/** An earlier intent holds the key: do not dispatch; its outcome is not known here. */
@@ -40,15 +40,15 @@
 export type ClaimRequest = {account: string; key: string; service: string};
 
 /** What became of a claim, and the intent it wrote. */
-export type ClaimAnswer = {claim: Claim; intent: Intent};
+export type ClaimAnswer = {claim: ClaimOutcome; intent: Intent};
 
-type Pending = {record: JournalRecord; settle: (result: {firstOffset: number; index: number} | Error) => void};
+type PendingAppend = {record: JournalRecord; settle: (result: {firstOffset: number; index: number} | Error) => void};
 
 /** The journal of one gateway: batches intents and decides claims. */
 export class Journal {
 	batches = 0;
-	private queue: Pending[] = [];
-	private flushScheduled = false;
+	private queue: PendingAppend[] = [];
+	private isFlushScheduled = false;
 
 	constructor(
 		private readonly platformLog: PlatformLog,
@@ -75,8 +75,8 @@
 		const intent: Intent = {
 			kind: JournalRecordKind.Intent, id: randomUUID(), account, key, service, gateway: this.gateway,
 		};
-		const claim = await this.decide(intent, signal);
-		if (claim === Claim.Abandoned) {
+		const claim = await this.appendAndDecide(intent, signal);
+		if (claim === ClaimOutcome.Abandoned) {
 			// The intent may still land: its release frees the key whichever comes first.
 			void this.release(intent);
 		}
@@ -94,10 +94,10 @@
 		}
 	}
 
-	private async decide(intent: Intent, signal: AbortSignal): Promise<Claim> {
+	private async appendAndDecide(intent: Intent, signal: AbortSignal): Promise<ClaimOutcome> {
 		const {account, key} = intent;
 		if (this.table.firstFor(account, key)) {
-			return Claim.Taken;
+			return ClaimOutcome.Taken;
 		}
 
 		const appended = await this.enqueue(intent);
@@ -105,16 +105,16 @@
 		if (appended instanceof UnknownAppendError) {
 			log.warn('intent append outcome unknown, reading back.', {key, account});
 		} else if (appended instanceof Error) {
-			return Claim.NotRecorded;
+			return ClaimOutcome.NotRecorded;
 		} else {
 			offset = appended.firstOffset + appended.index;
 		}
 
-		const deadline = Date.now() + readBackMs;
-		while (!signal.aborted && Date.now() < deadline) {
+		const deadlineMs = Date.now() + readBackMs;
+		while (!signal.aborted && Date.now() < deadlineMs) {
 			offset ??= this.table.offsetOf(intent.id);
 			if (offset !== undefined && this.table.appliedOffset >= offset) {
-				return this.table.firstFor(account, key)?.id === intent.id ? Claim.Won : Claim.Taken;
+				return this.table.firstFor(account, key)?.id === intent.id ? ClaimOutcome.Won : ClaimOutcome.Taken;
 			}
 
 			// eslint-disable-next-line no-await-in-loop
@@ -122,14 +122,14 @@
 		}
 
 		log.warn('intent not read back, abandoning the call.', {key, account});
-		return Claim.Abandoned;
+		return ClaimOutcome.Abandoned;
 	}
 
 	private async enqueue(record: JournalRecord): Promise<{firstOffset: number; index: number} | Error> {
 		return new Promise(resolve => {
 			this.queue.push({record, settle: resolve});
-			if (!this.flushScheduled) {
-				this.flushScheduled = true;
+			if (!this.isFlushScheduled) {
+				this.isFlushScheduled = true;
 				void this.flush();
 			}
 		});
@@ -139,7 +139,7 @@
 		await delay(this.flushMs);
 		const batch = this.queue;
 		this.queue = [];
-		this.flushScheduled = false;
+		this.isFlushScheduled = false;
 		this.batches++;
 		try {
 			const answer = await this.platformLog.append(journalStream, batch.map(entry => entry.record));
--- a/src/coordination/lease.ts
+++ b/src/coordination/lease.ts
@@ -1,14 +1,14 @@
 /**
- * Keeps or seeks the controller lease on the platform log. Which records count is
- * decided by log order (`state/lease-table.ts`); how long a lease lasts, by clocks:
+ * Acquires and renews the controller lease on the platform log. Log order decides which
+ * records are valid (`state/lease-table.ts`); clocks decide how long a lease lasts:
  *
- * - The holder may act until `leaseMs` after it *sent* its last renewal that counted,
- *   less a guard, by both its monotonic and its wall clock, so that a holder that was
- *   paused or suspended stops before it acts again.
+ * - The holder may act until `leaseMs`, less a guard, after it *sent* its last valid
+ *   renewal. The time is measured by both its monotonic and its wall clock, so that a
+ *   holder that was paused or suspended doesn't act on an expired lease when it resumes.
  * - Another gateway may claim once `leaseMs` and a margin have passed, by its monotonic
- *   clock, since it *read* the last record that counted, which is later than its sending.
+ *   clock, since it *read* the last valid record, which is later than the sending.
  *
- * The claim that wins carries its offset as the fencing token of every order.
+ * The offset of the winning claim is the fencing token of every order.
  */
 import {randomUUID} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -22,58 +22,59 @@
 
 const log = createLogger('lease');
 
-/** Renewals sent within one lease, so that one may fail. */
+/** Renewals sent within the time of one lease, so that one may fail. */
 export const renewalsPerLease = 3;
-/** Share of a lease before its end at which the holder stops acting. */
-export const guardShare = 0.15;
-/** Share of a lease beyond its length that others wait before they claim. */
+/** Share of the lease time, before its end, in which the holder no longer acts. */
+export const holderGuardShare = 0.15;
+/** Share of the lease time that other gateways wait beyond its end before they claim. */
 export const claimMarginShare = 0.25;
-/** Share of a lease over which the claims of different gateways are spread. */
-export const claimSpreadShare = 0.5;
-/** Leases that pass unconfirmed before a reader without history trusts what it read. */
-const trustAfterLeases = 3;
+/** Share of the lease time over which the claims of different gateways are spread. */
+export const claimJitterShare = 0.5;
+/** Number of lease times without a new record after which a reader whose history is incomplete trusts what it has read. */
+const leasesUntilTrusted = 3;
 
 type PendingRecord = {id: string; kind: LeaseRecordKind; sent: Instant};
 
-/** What a {@link LeaseKeeper} needs. */
+/** Options of a {@link LeaseKeeper}. */
 export type LeaseOptions = {
 	platformLog: PlatformLog;
 	table: LeaseTable;
 	/** This gateway's id. */
 	holder: string;
+	/** Duration of the lease after a renewal, in milliseconds. */
 	leaseMs: number;
 };
 
-/** The lease as one gateway sees it, and its efforts to hold it. */
+/** One gateway's view of the controller lease, and its attempts to acquire and renew it. */
 export class LeaseKeeper {
-	/** Appends made to the lease stream. */
+	/** Number of appends to the lease stream. */
 	appends = 0;
 	private readonly options: LeaseOptions;
 	/** The fencing token this gateway holds or last held. */
 	private token: number | undefined;
-	/** When the renewal in force was sent. */
-	private heldSince: Instant | undefined;
-	private pending: PendingRecord | undefined;
-	/** When a record that counted was last read, by the monotonic clock. */
-	private lastReadMs: number;
+	/** When the last valid claim or renewal of this gateway was sent. */
+	private renewalSentAt: Instant | undefined;
+	private pendingRecord: PendingRecord | undefined;
+	/** When a valid record was last read, by the monotonic clock. */
+	private lastValidReadMs: number;
 
 	constructor(options: LeaseOptions, now: Instant) {
 		this.options = options;
-		this.lastReadMs = now.monotonicMs;
+		this.lastValidReadMs = now.monotonicMs;
 	}
 
-	/** The fencing token to put on orders, if this gateway may act as controller at `now`. */
+	/** Returns the fencing token of orders if this gateway may act as controller at `now`, otherwise undefined. */
 	tokenAt(now: Instant): number | undefined {
 		const {table, leaseMs} = this.options;
-		if (this.token === undefined || this.heldSince === undefined || table.lease?.token !== this.token) {
+		if (this.token === undefined || this.renewalSentAt === undefined || table.lease?.token !== this.token) {
 			return undefined;
 		}
 
-		const heldMs = Math.max(now.monotonicMs - this.heldSince.monotonicMs, now.wallMs - this.heldSince.wallMs);
-		return heldMs < leaseMs * (1 - guardShare) ? this.token : undefined;
+		const heldMs = Math.max(now.monotonicMs - this.renewalSentAt.monotonicMs, now.wallMs - this.renewalSentAt.wallMs);
+		return heldMs < leaseMs * (1 - holderGuardShare) ? this.token : undefined;
 	}
 
-	/** Follows the lease stream and seeks or keeps the lease until the signal aborts. */
+	/** Follows the lease stream, and claims or renews the lease, until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		const {platformLog, table, leaseMs} = this.options;
 		const following = followStream<LeaseRecord>({
@@ -104,8 +105,8 @@
 	}
 
 	/**
-	 * Gives the lease up, if this gateway holds it, so that another may claim it at once.
-	 * Only to be called once every order given under it was answered.
+	 * Releases the lease if this gateway holds it, so that another may claim it at once.
+	 * Must only be called once every order sent under it was answered.
 	 */
 	async giveUp(): Promise<void> {
 		const token = this.tokenAt(readClocks());
@@ -114,76 +115,76 @@
 		}
 
 		const {table, holder} = this.options;
-		this.heldSince = undefined;
+		this.renewalSentAt = undefined;
 		await this.append({
 			kind: LeaseRecordKind.Release, id: randomUUID(), holder, base: table.last, token,
 		}, readClocks());
 	}
 
-	/** Applies a record read at `now`. */
+	/** Applies a record that was read at `now`. */
 	apply(offset: number, record: LeaseRecord, now: Instant): void {
 		const {table} = this.options;
-		const before = table.lease;
-		const isCounted = table.apply(offset, record);
-		const sent = this.pending?.id === record.id ? this.pending.sent : undefined;
+		const leaseBefore = table.lease;
+		const isValid = table.apply(offset, record);
+		const sent = this.pendingRecord?.id === record.id ? this.pendingRecord.sent : undefined;
 		if (sent) {
-			this.pending = undefined;
+			this.pendingRecord = undefined;
 		}
 
-		if (!isCounted) {
+		if (!isValid) {
 			return;
 		}
 
-		this.lastReadMs = now.monotonicMs;
+		this.lastValidReadMs = now.monotonicMs;
 		if (sent && record.kind !== LeaseRecordKind.Release && table.isCertain) {
 			this.token = table.lease?.token;
-			this.heldSince = sent;
+			this.renewalSentAt = sent;
 		}
 
-		if (table.lease?.token !== before?.token) {
-			log.info('holder changed.', {holder: table.lease?.holder, token: table.lease?.token});
+		if (table.lease?.token !== leaseBefore?.token) {
+			log.info('lease holder changed.', {holder: table.lease?.holder, token: table.lease?.token});
 		}
 	}
 
-	/** The record to append at `now`, if any: a renewal by the holder, or a claim of a lapsed lease. */
+	/** Returns the record to append at `now`, if any: a renewal by the holder, or a claim of an expired lease. */
 	nextRecord(now: Instant): LeaseRecord | undefined {
 		const {table, holder, leaseMs} = this.options;
 		const renewEveryMs = leaseMs / renewalsPerLease;
-		if (this.pending && now.monotonicMs - this.pending.sent.monotonicMs < renewEveryMs) {
+		if (this.pendingRecord && now.monotonicMs - this.pendingRecord.sent.monotonicMs < renewEveryMs) {
 			return undefined;
 		}
 
-		const base = {id: randomUUID(), holder, base: table.last};
+		const fields = {id: randomUUID(), holder, base: table.last};
 		if (this.tokenAt(now) !== undefined) {
-			const isDue = now.monotonicMs - this.heldSince!.monotonicMs >= renewEveryMs / 2;
-			return isDue ? {...base, kind: LeaseRecordKind.Renew, token: this.token} : undefined;
+			const isDue = now.monotonicMs - this.renewalSentAt!.monotonicMs >= renewEveryMs / 2;
+			return isDue ? {...fields, kind: LeaseRecordKind.Renew, token: this.token} : undefined;
 		}
 
-		const silentMs = now.monotonicMs - this.lastReadMs;
-		if (!table.isCertain && silentMs > leaseMs * trustAfterLeases) {
+		const silentMs = now.monotonicMs - this.lastValidReadMs;
+		if (!table.isCertain && silentMs > leaseMs * leasesUntilTrusted) {
 			table.trust();
 		}
 
-		const lapseMs = table.lease === undefined ? 0 : leaseMs * (1 + claimMarginShare);
-		const isLapsed = silentMs >= lapseMs + this.claimSpreadMs();
-		return isLapsed && table.isCertain ? {...base, kind: LeaseRecordKind.Claim} : undefined;
+		const expiryMs = table.lease === undefined ? 0 : leaseMs * (1 + claimMarginShare);
+		const isExpired = silentMs >= expiryMs + this.claimJitterMs();
+		return isExpired && table.isCertain ? {...fields, kind: LeaseRecordKind.Claim} : undefined;
 	}
 
-	/** Notes that a record is about to be sent at `now`. */
+	/** Records that a record is about to be sent at `now`. */
 	noteSent(record: LeaseRecord, now: Instant): void {
-		this.pending = {id: record.id, kind: record.kind, sent: now};
+		this.pendingRecord = {id: record.id, kind: record.kind, sent: now};
 		this.appends++;
 	}
 
-	/** A plain copy for state dumps. */
+	/** Returns a plain copy for state dumps. */
 	toJson(now: Instant): Record<string, unknown> {
 		return {...this.options.table.toJson(), holding: this.tokenAt(now) !== undefined, appends: this.appends};
 	}
 
-	/** A pause that differs per gateway and lease, so that not all claim at the same moment. */
-	private claimSpreadMs(): number {
+	/** Returns a delay in milliseconds that differs per gateway and lease, so that not all gateways claim at the same moment. */
+	private claimJitterMs(): number {
 		const {table, holder, leaseMs} = this.options;
-		return (affinityScore(String(table.last), holder) / (2 ** 32)) * leaseMs * claimSpreadShare;
+		return (affinityScore(String(table.last), holder) / (2 ** 32)) * leaseMs * claimJitterShare;
 	}
 
 	private async append(record: LeaseRecord, sent: Instant): Promise<void> {
@@ -191,8 +192,8 @@
 		try {
 			await this.options.platformLog.append(leaseStream, [record]);
 		} catch (error) {
-			// It may still land; reading it back decides.
-			log.warn('append failed.', {kind: record.kind, error: String(error)});
+			// The record may have been appended all the same; following the stream shows whether it was.
+			log.warn('lease record append failed.', {kind: record.kind, error: String(error)});
 		}
 	}
 }
--- a/src/coordination/own-record.ts
+++ b/src/coordination/own-record.ts
@@ -13,7 +13,7 @@
 }
 
 /** Decodes a record's value; undefined when it is not what `isWhole` expects. */
-export function readOwnRecord<T>(value: Uint8Array, isWhole: (value: unknown) => value is T, what: string): T | undefined {
+export function readOwnRecord<T>(value: Uint8Array, isValid: (value: unknown) => value is T, what: string): T | undefined {
 	let parsed: unknown;
 	try {
 		parsed = JSON.parse(Buffer.from(value).toString('utf8'));
@@ -22,7 +22,7 @@
 		return undefined;
 	}
 
-	if (!isWhole(parsed)) {
+	if (!isValid(parsed)) {
 		log.error('record of another form, skipped.', {what});
 		return undefined;
 	}
--- a/src/coordination/record-sinks.ts
+++ b/src/coordination/record-sinks.ts
@@ -8,7 +8,7 @@
 const log = createLogger('front');
 
 /** Most names whose unreadable entries are logged at a time; more than a misdirected writer's first ones tell nothing new. */
-const mostUnreadable = 100;
+const maxLoggedKeys = 100;
 
 /** Takes configurations into force. */
 export class ConfigSink implements RecordSink {
@@ -52,7 +52,7 @@
 	grownAtMs = Number.NEGATIVE_INFINITY;
 
 	/** Names whose entry could not be read, logged once. */
-	private readonly unreadable = new Set<string>();
+	private readonly unreadableKeys = new Set<string>();
 
 	/** @param onList Called after each full list. */
 	constructor(
@@ -73,7 +73,7 @@
 
 	apply(record: KeyedRecord, nowMs: number): void {
 		if (!record.value) {
-			this.unreadable.delete(record.key);
+			this.unreadableKeys.delete(record.key);
 			const entry = this.backends.vanish(record.key, nowMs);
 			log.info('backend server not listed any more.', {backend: record.key, wasLeaving: entry?.leavingSinceMs !== undefined, offset: record.offset});
 			return;
@@ -81,7 +81,7 @@
 
 		try {
 			const backend = this.records.readBackend(record.key, record.value);
-			this.unreadable.delete(record.key);
+			this.unreadableKeys.delete(record.key);
 			const {beganToLeave, isNew} = this.backends.upsert(backend, nowMs);
 			this.grownAtMs = isNew ? nowMs : this.grownAtMs;
 			if (beganToLeave || isNew) {
@@ -96,15 +96,15 @@
 				});
 			}
 		} catch (error) {
-			this.withhold(record, nowMs, error);
+			this.withholdEntry(record, nowMs, error);
 		}
 	}
 
 	/** Passes over an entry that cannot be read; logged once until one can, since others than backend servers may repeat it. */
-	private withhold(record: KeyedRecord, nowMs: number, error: unknown): void {
+	private withholdEntry(record: KeyedRecord, nowMs: number, error: unknown): void {
 		this.backends.withhold(record.key, nowMs);
-		if (!this.unreadable.has(record.key) && this.unreadable.size < mostUnreadable) {
-			this.unreadable.add(record.key);
+		if (!this.unreadableKeys.has(record.key) && this.unreadableKeys.size < maxLoggedKeys) {
+			this.unreadableKeys.add(record.key);
 			log.error('entry of a backend server unreadable, skipped.', {backend: record.key, offset: record.offset, error: String(error)});
 		}
 	}
--- a/src/coordination/service-calls.ts
+++ b/src/coordination/service-calls.ts
@@ -8,7 +8,7 @@
 import {ConnectError} from '../transport/errors.js';
 import {createLogger} from '../log.js';
 import {type BackendDirectory} from './backend-directory.js';
-import {Claim, type Journal} from './journal.js';
+import {ClaimOutcome, type Journal} from './journal.js';
 import {defaultRetryBound, RepeatPurpose, RetryAllowance} from './retry-allowance.js';
 import {NoBackendError, OutcomeUnknownError} from './errors.js';
 
@@ -38,7 +38,7 @@
 
 /** Carries out service calls of one gateway. */
 export class ServiceCalls {
-	private turn = 0;
+	private nextTargetIndex = 0;
 	private readonly avoidedUntilMs = new Map<string, number>();
 	private readonly retries = new RetryAllowance(defaultRetryBound);
 
@@ -55,17 +55,17 @@
 	 * @throws {OutcomeUnknownError} When it may have run.
 	 */
 	async call(call: ServiceCall, signal: AbortSignal): Promise<JsonResponse<unknown>> {
-		this.targets(call.service, Date.now());
+		this.orderTargets(call.service, Date.now());
 		if (call.idempotent) {
 			return this.dispatch(call);
 		}
 
 		const {claim, intent} = await this.journal.claim({account: call.account, key: call.idempotencyKey, service: call.service}, signal);
-		if (claim === Claim.Taken) {
+		if (claim === ClaimOutcome.Taken) {
 			throw new KeyTakenError(`idempotency key ${call.idempotencyKey} was already submitted`);
 		}
 
-		if (claim !== Claim.Won) {
+		if (claim !== ClaimOutcome.Won) {
 			throw new NotRecordedError(`call with idempotency key ${call.idempotencyKey} was not recorded`);
 		}
 
@@ -84,7 +84,7 @@
 		this.retries.countRequest(call.service, Date.now());
 		const tried = new Set<string>();
 		for (;;) {
-			const target = this.targets(call.service, Date.now()).find(candidate => !tried.has(candidate.id));
+			const target = this.orderTargets(call.service, Date.now()).find(candidate => !tried.has(candidate.id));
 			if (!target || tried.size >= maxTargets) {
 				throw new NoBackendError(`no backend server of service ${call.service} could be reached`);
 			}
@@ -98,8 +98,8 @@
 			} catch (error) {
 				this.avoidedUntilMs.set(target.id, Date.now() + avoidMs);
 				log.warn('backend server failed.', {service: call.service, backend: target.id, error: String(error)});
-				const neverSent = error instanceof ConnectError;
-				if (!neverSent && !(call.idempotent && tried.size < maxTargets && this.retries.take(call.service, RepeatPurpose.Retry, 1, Date.now()))) {
+				const wasNeverSent = error instanceof ConnectError;
+				if (!wasNeverSent && !(call.idempotent && tried.size < maxTargets && this.retries.take(call.service, RepeatPurpose.Retry, 1, Date.now()))) {
 					throw new OutcomeUnknownError(`call to ${target.id} may have run`, {cause: error});
 				}
 			}
@@ -112,13 +112,13 @@
 	 *
 	 * @throws {NoBackendError} When there is none.
 	 */
-	private targets(service: string, nowMs: number): BackendServer[] {
+	private orderTargets(service: string, nowMs: number): BackendServer[] {
 		const targets = this.directory.takingWork(BackendKind.Service).filter(backend => backend.name === service);
 		if (targets.length === 0) {
 			throw new NoBackendError(`no backend server of service ${service} is available`);
 		}
 
-		const start = this.turn++ % targets.length;
+		const start = this.nextTargetIndex++ % targets.length;
 		const inTurn = [...targets.slice(start), ...targets.slice(0, start)];
 		const isAvoided = (backend: BackendServer) => (this.avoidedUntilMs.get(backend.id) ?? 0) > nowMs;
 		return [...inTurn.filter(backend => !isAvoided(backend)), ...inTurn.filter(backend => isAvoided(backend))];
--- a/src/coordination/settings-reload.ts
+++ b/src/coordination/settings-reload.ts
@@ -9,7 +9,7 @@
 const fixedBounds: ReadonlySet<keyof ServiceBounds> = new Set(['quotaWindowMs', 'retryWindowMs', 'usageWindowMs', 'leaseMs']);
 
 /** What a reload changed. */
-export type Reload = {
+export type SettingsChange = {
 	/** Bounds in force with their new values. */
 	changed: Partial<ServiceBounds>;
 	/** Names of settings that differ and need a restart. */
@@ -17,10 +17,10 @@
 };
 
 /** Changes the bounds in force to those of freshly read settings. */
-export function applySettings(current: FrontSettings, fresh: FrontSettings): Reload {
+export function applySettings(current: FrontSettings, reloaded: FrontSettings): SettingsChange {
 	const changed: Partial<ServiceBounds> = {};
 	const needRestart: string[] = [];
-	for (const [name, value] of Object.entries(fresh.bounds) as Array<[keyof ServiceBounds, number]>) {
+	for (const [name, value] of Object.entries(reloaded.bounds) as Array<[keyof ServiceBounds, number]>) {
 		if (value === current.bounds[name]) {
 			continue;
 		}
@@ -33,8 +33,8 @@
 	}
 
 	Object.assign(current.bounds, changed);
-	const names = Object.keys(fresh) as Array<keyof FrontSettings>;
+	const names = Object.keys(reloaded) as Array<keyof FrontSettings>;
 	// A restart is no first start, so that one changes by itself.
-	needRestart.push(...names.filter(name => name !== 'bounds' && name !== 'isFirstStart' && JSON.stringify(fresh[name]) !== JSON.stringify(current[name])));
+	needRestart.push(...names.filter(name => name !== 'bounds' && name !== 'isFirstStart' && JSON.stringify(reloaded[name]) !== JSON.stringify(current[name])));
 	return {changed, needRestart};
 }
--- a/src/coordination/stream-follower.ts
+++ b/src/coordination/stream-follower.ts
@@ -31,7 +31,7 @@
 export async function followStream<T>(follower: StreamFollower<T>, signal: AbortSignal): Promise<void> {
 	const {platformLog, stream, apply, log} = follower;
 	let next = follower.from;
-	let failing = false;
+	let isFailing = false;
 	// The first read does not wait, so that an empty stream is known to be empty.
 	let waitMs = 0;
 	while (!signal.aborted) {
@@ -39,9 +39,9 @@
 			// eslint-disable-next-line no-await-in-loop
 			const answer = await platformLog.read<T>(stream, next, waitMs, signal);
 			waitMs = pollWaitMs;
-			if (failing) {
+			if (isFailing) {
 				log.info('platform log is back.', {stream, next});
-				failing = false;
+				isFailing = false;
 			}
 
 			if (answer.expired) {
@@ -64,9 +64,9 @@
 				return;
 			}
 
-			if (!failing) {
+			if (!isFailing) {
 				log.warn('platform log unreachable, keeping what was read.', {stream, next, error: String(error)});
-				failing = true;
+				isFailing = true;
 			}
 
 			// eslint-disable-next-line no-await-in-loop
--- a/src/coordination/topic-follower.ts
+++ b/src/coordination/topic-follower.ts
@@ -1,13 +1,14 @@
 /**
- * Follows one keyed topic of the platform's store: the newest record of each key first,
- * then every record after it by long polls. Each answered read confirms the view as of
- * when it was sent.
+ * Follows one keyed topic of the platform's store: reads the newest record of each key,
+ * then every later record by long polling. An answered read confirms the view as of the
+ * time when the read was sent.
  *
- * In a large fleet most daemons need not read: a relay says how far it has read and how old
- * that is, and hands on what is missing. A daemon whose own view reaches as far may take it
- * to be as young as the relay's, counted from when it asked. While no relay tells, or one
- * tells of records that it does not hand on, the daemon reads for itself. At 86 daemons,
- * each reading for itself made 350 calls a second.
+ * In a large fleet most daemons need not read the store: a relay reports how far its own
+ * view reaches and how old that view is, and includes missing records. A daemon whose view
+ * reaches as far as the relay's may treat it as equally recent, counted from when it sent
+ * its request to the relay. A daemon reads the store itself while no relay confirms its
+ * view, or while a relay reports records that it doesn't include. If each of 86 daemons
+ * read for itself, they would make 350 calls per second.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type TopicNews} from '../protocol/fleet-messages.js';
@@ -21,69 +22,69 @@
 import {
 	answerMs, carriedStepMs, doubtAnswerMs, mostAnswerMs, pauseAfter,
 } from './follow-limits.js';
-import {RecordTail} from './record-tail.js';
+import {RecentRecords} from './recent-records.js';
 
 const log = createLogger('store');
 
-/** Records that a daemon waits for to be handed on, rather than read them: two rounds' worth. */
-const awaitedRecords = 8;
+/** Number of missing records up to which a daemon waits for a relay to send them instead of reading them; two rounds' worth. */
+const maxAwaitedRecords = 8;
 
-/** What is done with the records of a topic. */
+/** Receives the records of a topic. */
 export type RecordSink = {
-	/** Takes the newest record of every key; keys that are missing were dropped. */
+	/** Replaces the state by the newest record of every key; keys that are missing were deleted. */
 	reset(records: KeyedRecord[], nowMs: number): void;
-	/** Takes one later record. */
+	/** Applies one later record. */
 	apply(record: KeyedRecord, nowMs: number): void;
 };
 
-/** The parts a follower works with. */
+/** Options of a {@link TopicFollower}. */
 export type FollowerOptions = {
 	store: Store;
 	topic: Topic;
 	sink: RecordSink;
 	belief: Belief;
 	clock: SteadyClock;
-	/** How long one read waits for records, in milliseconds; bounds the view's age on a calm day. */
+	/** How long one read waits for records, in milliseconds; bounds the view's age while all reads are answered. */
 	waitMs: () => number;
-	/** Size of records beyond which one read adds no further one, in bytes. */
+	/** Total size of records beyond which one read adds no further record, in bytes. */
 	mostBytes: number;
-	/** Whether only the newest record of each key counts, so that a view that falls behind may pass over those between. */
+	/** Whether only the newest record of each key matters, so that a view that falls behind may skip intermediate records. */
 	isNewestEnough: boolean;
-	/** Pause after records came before the next read, in milliseconds, so that a series of changes costs few reads. */
+	/** Pause after a read that returned records, in milliseconds, so that a series of changes needs few reads. */
 	gatherMs: number;
-	/** Age up to which a view that relays confirm needs no reads, in milliseconds; 0 while this daemon reads for others. */
+	/** Age of the relays' latest confirmation up to which this daemon does not read the store, in milliseconds; 0 for a daemon that always reads, such as a relay. */
 	carriedMs: () => number;
 };
 
-/** How current a view is, and what it rests on. */
+/** How current a view is, and what confirms it. */
 export type ViewState = {
 	ageMs: number;
 	/** Offset of the first record that is not in the view. */
 	next: number | undefined;
-	/** Whether the daemon goes by its relays' word instead of reading. */
+	/** Whether relays confirm the view, so that the daemon doesn't read the store. */
 	isCarried: boolean;
-	/** Reads of this daemon's own since its start. */
+	/** Number of this daemon's own reads since its start. */
 	reads: {answered: number; failed: number};
 };
 
 /** Follows one topic. */
 export class TopicFollower {
-	/** Whether this daemon's own reads fail. */
+	/** Whether this daemon's own reads are failing. */
 	isLost = false;
 	private next: number | undefined;
-	/** When the topic was first read, or read again after it was lost. */
+	/** When the topic was first read, or read again after failures. */
 	private followedSinceMs: number | undefined;
-	/** As of when a relay last confirmed the view. */
-	private carriedAtMs = Number.NEGATIVE_INFINITY;
-	/** Whether a relay told of records that it did not hand on. */
-	private isBehind = false;
-	/** Whether the next read asks without waiting, since the view's age is in doubt. */
-	private isInDoubt = false;
-	/** Whether the view was last left to the relays; undefined before the first read. */
-	private wasCarried: boolean | undefined;
+	/** The latest time as of which a relay confirmed the view. */
+	private relayConfirmedAtMs = Number.NEGATIVE_INFINITY;
+	/** Whether a relay reported records that it did not include. */
+	private isMissingRecords = false;
+	/** Whether the next read doesn't wait for records, because the view's age is uncertain. */
+	private shouldReadImmediately = false;
+	/** Whether relays confirmed the view in the previous step; undefined before the first step. */
+	private wasRelayConfirmed: boolean | undefined;
 	private readonly reads = {answered: 0, failed: 0};
-	private failedInRow = 0;
-	private readonly tail = new RecordTail();
+	private consecutiveFailures = 0;
+	private readonly recentRecords = new RecentRecords();
 
 	constructor(private readonly options: FollowerOptions) {}
 
@@ -92,26 +93,26 @@
 		return this.next;
 	}
 
-	/** How long the topic has been followed without a loss, in milliseconds; 0 while it is not. */
+	/** Returns how long the topic has been followed without interruption, in milliseconds; 0 while reads are failing. */
 	followedForMs(nowMs: number): number {
 		return this.isLost || this.followedSinceMs === undefined ? 0 : nowMs - this.followedSinceMs;
 	}
 
-	/** How current the view is and where it comes from, for a state dump and metrics. */
+	/** Returns how current the view is and what confirms it, for state dumps and metrics. */
 	stateAt(nowMs: number): ViewState {
 		return {
-			ageMs: Math.round(this.options.belief.ageMs(nowMs)), next: this.next, isCarried: this.isCarried, reads: {...this.reads},
+			ageMs: Math.round(this.options.belief.ageMs(nowMs)), next: this.next, isCarried: this.isRelayConfirmed, reads: {...this.reads},
 		};
 	}
 
 	/** Follows the topic until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
-			const {isCarried} = this;
-			this.noteSource(isCarried);
-			if (isCarried) {
-				this.isInDoubt = true;
-				// eslint-disable-next-line no-await-in-loop -- one step after the other.
+			const {isRelayConfirmed} = this;
+			this.logSource(isRelayConfirmed);
+			if (isRelayConfirmed) {
+				this.shouldReadImmediately = true;
+				// eslint-disable-next-line no-await-in-loop -- the steps run one after the other.
 				await delay(carriedStepMs, undefined, {signal}).catch(() => undefined);
 				continue;
 			}
@@ -119,7 +120,7 @@
 			try {
 				// eslint-disable-next-line no-await-in-loop
 				const hasRecords = await this.read(signal);
-				this.noteAnswered();
+				this.handleAnswer();
 				if (hasRecords && this.options.gatherMs > 0) {
 					// eslint-disable-next-line no-await-in-loop
 					await delay(this.options.gatherMs, undefined, {signal}).catch(() => undefined);
@@ -129,56 +130,56 @@
 					return;
 				}
 
-				this.noteFailed(error);
+				this.handleFailure(error);
 				// eslint-disable-next-line no-await-in-loop
-				await delay(pauseAfter(this.failedInRow, Math.random()), undefined, {signal}).catch(() => undefined);
+				await delay(pauseAfter(this.consecutiveFailures, Math.random()), undefined, {signal}).catch(() => undefined);
 			}
 		}
 	}
 
-	/** What this daemon may tell one whose view reaches up to an offset; undefined before the first read. */
+	/** Returns what this daemon reports to a daemon whose view reaches up to an offset; undefined before the first read. */
 	newsFor(offset: number | undefined, nowMs: number): TopicNews | undefined {
-		return this.next === undefined ? undefined : {next: this.next, ageMs: Math.ceil(this.options.belief.ageMs(nowMs)), records: this.tail.from(offset)};
+		return this.next === undefined ? undefined : {next: this.next, ageMs: Math.ceil(this.options.belief.ageMs(nowMs)), records: this.recentRecords.startingAt(offset)};
 	}
 
 	/**
-	 * Takes what a relay tells of the topic.
+	 * Applies what a relay reports of the topic.
 	 *
-	 * @param askedAtMs When the relay was asked; it looked at its view later than that.
+	 * @param requestedAtMs When the request to the relay was sent; the relay evaluated its view after that.
 	 */
-	hear(news: TopicNews, askedAtMs: number, nowMs: number): void {
+	hear(update: TopicNews, requestedAtMs: number, nowMs: number): void {
 		if (this.next === undefined) {
 			return;
 		}
 
-		const before = this.next;
-		for (const [offset, key, value] of news.records) {
+		const nextBefore = this.next;
+		for (const [offset, key, value] of update.records) {
 			if (offset === this.next) {
-				this.take({offset, key, value}, nowMs);
+				this.applyRecord({offset, key, value}, nowMs);
 			}
 		}
 
-		if (news.next > this.next) {
-			// The next round may hand the rest on.
-			this.isBehind = this.next === before || news.next - this.next > awaitedRecords;
+		if (update.next > this.next) {
+			// The relay's next answer may include the rest.
+			this.isMissingRecords = this.next === nextBefore || update.next - this.next > maxAwaitedRecords;
 			return;
 		}
 
-		const confirmedAtMs = askedAtMs - news.ageMs;
-		this.carriedAtMs = Math.max(this.carriedAtMs, confirmedAtMs);
+		const confirmedAtMs = requestedAtMs - update.ageMs;
+		this.relayConfirmedAtMs = Math.max(this.relayConfirmedAtMs, confirmedAtMs);
 		this.options.belief.confirm(confirmedAtMs);
 	}
 
-	private get isCarried(): boolean {
+	private get isRelayConfirmed(): boolean {
 		const carriedMs = this.options.carriedMs();
-		return carriedMs > 0 && !this.isBehind && this.options.clock.now() - this.carriedAtMs <= carriedMs;
+		return carriedMs > 0 && !this.isMissingRecords && this.options.clock.now() - this.relayConfirmedAtMs <= carriedMs;
 	}
 
-	/** One read; returns whether it brought all there was, and any. */
+	/** Makes one read; returns whether it brought any records and reached the end of the topic. */
 	private async read(signal: AbortSignal): Promise<boolean> {
 		const {topic, belief, clock, isNewestEnough} = this.options;
 		const sentAtMs = clock.now();
-		this.isBehind = false;
+		this.isMissingRecords = false;
 		const batch = this.next === undefined ? undefined : await this.readFrom(this.next, signal);
 		if (!batch && this.next !== undefined) {
 			log.info('records expired, reading the newest of each key.', {topic});
@@ -190,87 +191,87 @@
 		}
 
 		for (const record of batch.records) {
-			// A relay may have handed it on meanwhile.
+			// A relay may have sent the record in the meantime.
 			if (record.offset >= this.next!) {
-				this.take(record, clock.now());
+				this.applyRecord(record, clock.now());
 			}
 		}
 
-		const isWhole = this.next! >= batch.end;
-		if (isWhole) {
+		const isAtEnd = this.next! >= batch.end;
+		if (isAtEnd) {
 			belief.confirm(sentAtMs);
 		}
 
-		return isWhole && batch.records.length > 0;
+		return isAtEnd && batch.records.length > 0;
 	}
 
-	/** Reads records from an offset on, and waits for them unless the view is in doubt. */
+	/** Reads records from an offset on, and waits for them unless the view's age is uncertain. */
 	private async readFrom(next: number, signal: AbortSignal): Promise<RecordBatch | undefined> {
 		const {store, topic, waitMs, mostBytes} = this.options;
-		const limits = this.isInDoubt ? {waitMs: 0, answerMs: this.patienceMs} : {waitMs: waitMs(), answerMs};
+		const limits = this.shouldReadImmediately ? {waitMs: 0, answerMs: this.answerTimeoutMs} : {waitMs: waitMs(), answerMs};
 		return store.read(topic, next, {...limits, mostBytes}, signal);
 	}
 
 	private async readNewest(signal: AbortSignal): Promise<void> {
 		const {store, topic, sink, belief, clock} = this.options;
 		const sentAtMs = clock.now();
-		const newest = await store.newest(topic, this.patienceMs, signal);
+		const newest = await store.newest(topic, this.answerTimeoutMs, signal);
 		if (newest.next < (this.next ?? 0)) {
 			throw new StateError(`the store's newest records of ${topic} end at ${newest.next}, before ${this.next}`);
 		}
 
 		sink.reset(newest.records, clock.now());
 		this.next = newest.next;
-		this.tail.clear();
+		this.recentRecords.clear();
 		belief.confirm(sentAtMs);
 	}
 
-	/** Time that an answer may take beyond a wait, in milliseconds: more after failures, since a store that carries much answers late. */
-	private get patienceMs(): number {
-		return this.failedInRow < 2 ? doubtAnswerMs : mostAnswerMs;
+	/** Time allowed for an answer beyond the wait, in milliseconds; longer after failures, since a heavily loaded store answers late. */
+	private get answerTimeoutMs(): number {
+		return this.consecutiveFailures < 2 ? doubtAnswerMs : mostAnswerMs;
 	}
 
-	private take(record: KeyedRecord, nowMs: number): void {
+	private applyRecord(record: KeyedRecord, nowMs: number): void {
 		this.options.sink.apply(record, nowMs);
 		this.next = record.offset + 1;
-		this.tail.add(record);
+		this.recentRecords.add(record);
 	}
 
-	/** Logs when the view is left to the relays, and when their word is too old. A record that they do not hand on is read without a line: it has one of its own. */
-	private noteSource(isCarried: boolean): void {
-		if (isCarried === this.wasCarried || (!isCarried && this.isBehind)) {
+	/** Logs when relays begin to confirm the view, and when their latest confirmation is too old. A switch to reading that fetches a record they did not include is not logged, because the record is logged when it is applied. */
+	private logSource(isRelayConfirmed: boolean): void {
+		if (isRelayConfirmed === this.wasRelayConfirmed || (!isRelayConfirmed && this.isMissingRecords)) {
 			return;
 		}
 
 		const {topic, belief, clock} = this.options;
-		if (isCarried || this.wasCarried !== undefined) {
-			log.info(isCarried ? 'going by relays.' : 'relays\' word too old, reading.', {topic, next: this.next, viewAgeMs: Math.round(belief.ageMs(clock.now()))});
+		if (isRelayConfirmed || this.wasRelayConfirmed !== undefined) {
+			log.info(isRelayConfirmed ? 'relays confirm the view, not reading the store.' : 'relay confirmation too old, reading the store.', {topic, next: this.next, viewAgeMs: Math.round(belief.ageMs(clock.now()))});
 		}
 
-		this.wasCarried = isCarried;
+		this.wasRelayConfirmed = isRelayConfirmed;
 	}
 
-	/** Notes a read of this daemon's own that was answered; a relay's word says nothing of the store's answers here. */
-	private noteAnswered(): void {
+	/** Updates the state after an answered read. Relay updates don't call it, since they don't show whether the store answers this daemon. */
+	private handleAnswer(): void {
 		this.reads.answered++;
-		this.failedInRow = 0;
-		this.isInDoubt = false;
+		this.consecutiveFailures = 0;
+		this.shouldReadImmediately = false;
 		this.followedSinceMs ??= this.options.clock.now();
 		if (this.isLost) {
 			this.isLost = false;
 			this.followedSinceMs = this.options.clock.now();
-			log.info('regained.', {topic: this.options.topic, next: this.next});
+			log.info('store answers again.', {topic: this.options.topic, next: this.next});
 		}
 	}
 
-	private noteFailed(error: unknown): void {
+	private handleFailure(error: unknown): void {
 		this.reads.failed++;
-		this.failedInRow++;
-		this.isInDoubt = true;
+		this.consecutiveFailures++;
+		this.shouldReadImmediately = true;
 		if (!this.isLost) {
 			this.isLost = true;
 			const {topic, belief, clock} = this.options;
-			log.warn('lost.', {
+			log.warn('store read failed.', {
 				topic, error: String(error), cause: error instanceof Error ? String(error.cause) : '', viewAgeMs: Math.round(belief.ageMs(clock.now())),
 			});
 		}
