--- a/src/coordination/__tests__/flight.test.ts
+++ b/src/coordination/__tests__/flight.test.ts
@@ -15,18 +15,18 @@
 	});
 
 	it.each([
-		{name: 'is aborted if another engine could resume the stream', openAfterMs: 0, endsAfterMs: stallTimeoutMs},
-		{name: 'continues while no other engine could, and is aborted once one can', openAfterMs: stallTimeoutMs + 1, endsAfterMs: 2 * stallTimeoutMs},
-	])('$name', ({openAfterMs, endsAfterMs}) => {
+		{name: 'is aborted if another engine could resume the stream', availableAfterMs: 0, abortedAfterMs: stallTimeoutMs},
+		{name: 'continues while no other engine could, and is aborted once one can', availableAfterMs: stallTimeoutMs + 1, abortedAfterMs: 2 * stallTimeoutMs},
+	])('$name', ({availableAfterMs, abortedAfterMs}) => {
 		const startedAtMs = Date.now();
 		const completion = new ActiveCompletion({
 			requestId: 'r', account: 'a', model: 'm', prompt: '', maxTokens: 10, priority: 0, resumeFrom: 0,
-		}, new AbortController().signal, () => Date.now() - startedAtMs >= openAfterMs);
+		}, new AbortController().signal, () => Date.now() - startedAtMs >= availableAfterMs);
 		const run = completion.beginRun({
 			id: 'e', kind: BackendKind.Engine, name: 'm', url: '', failureDomain: 'fd', checksFencing: false,
 		});
-		completion.noteToken(0);
-		vi.advanceTimersByTime(endsAfterMs - 1);
+		completion.countToken(0);
+		vi.advanceTimersByTime(abortedAfterMs - 1);
 		expect(run.aborted).toBe(false);
 		vi.advanceTimersByTime(1);
 		expect(run.aborted).toBe(true);
--- a/src/coordination/__tests__/lease.test.ts
+++ b/src/coordination/__tests__/lease.test.ts
@@ -9,13 +9,13 @@
 const at = (ms: number): Instant => ({monotonicMs: ms, wallMs: ms});
 
 /** Two gateways that share an in-memory log; the test decides when each reads and writes. */
-class Pair {
+class GatewayPair {
 	readonly log: LeaseRecord[] = [];
-	readonly keepers = ['a', 'b'].map(holder => new LeaseKeeper({
+	readonly gateways = ['a', 'b'].map(holder => new LeaseKeeper({
 		platformLog: new PlatformLog('http://unused', holder), table: new LeaseTable(), holder, leaseMs,
 	}, at(0)));
 
-	private readonly read = [0, 0];
+	private readonly nextOffsets = [0, 0];
 
 	/** Reads to the end of the log, writes the gateway's next record if there is one, and reads again. */
 	step(index: number, now: Instant): void {
@@ -25,28 +25,28 @@
 	}
 
 	write(index: number, now: Instant): void {
-		const record = this.keepers[index].nextRecord(now);
+		const record = this.gateways[index].nextRecord(now);
 		if (record) {
-			this.keepers[index].noteSent(record, now);
+			this.gateways[index].noteSent(record, now);
 			this.log.push(record);
 		}
 	}
 
 	catchUp(index: number, now: Instant): void {
-		for (; this.read[index] < this.log.length; this.read[index]++) {
-			this.keepers[index].apply(this.read[index], this.log[this.read[index]], now);
+		for (; this.nextOffsets[index] < this.log.length; this.nextOffsets[index]++) {
+			this.gateways[index].apply(this.nextOffsets[index], this.log[this.nextOffsets[index]], now);
 		}
 	}
 
 	holders(now: Instant): string[] {
-		return ['a', 'b'].filter((_, index) => this.keepers[index].tokenAt(now) !== undefined);
+		return ['a', 'b'].filter((_, index) => this.gateways[index].tokenAt(now) !== undefined);
 	}
 }
 
 describe('the controller lease', () => {
 	it.each([
 		{
-			name: 'is won by the first claim in log order', run(pair: Pair) {
+			name: 'is won by the first claim in log order', run(pair: GatewayPair) {
 				pair.write(0, at(600));
 				pair.write(1, at(600));
 				pair.catchUp(0, at(610));
@@ -54,7 +54,7 @@
 			}, at: at(620), holders: ['a'],
 		},
 		{
-			name: 'stays with a holder that renews', run(pair: Pair) {
+			name: 'stays with a holder that renews', run(pair: GatewayPair) {
 				for (let ms = 600; ms <= 4000; ms += 100) {
 					pair.step(0, at(ms));
 					pair.step(1, at(ms));
@@ -62,13 +62,13 @@
 			}, at: at(4010), holders: ['a'],
 		},
 		{
-			name: 'is no longer used by a holder that cannot renew, before another gateway may claim', run(pair: Pair) {
+			name: 'is no longer used by a holder that cannot renew, before another gateway may claim', run(pair: GatewayPair) {
 				pair.step(0, at(600));
 				pair.step(1, at(600));
 			}, at: at(600 + (leaseMs * 0.9)), holders: [],
 		},
 		{
-			name: 'goes to another gateway once it expired', run(pair: Pair) {
+			name: 'goes to another gateway once it expired', run(pair: GatewayPair) {
 				pair.step(0, at(600));
 				for (let ms = 600; ms <= 3000; ms += 100) {
 					pair.step(1, at(ms));
@@ -76,12 +76,12 @@
 			}, at: at(3010), holders: ['b'],
 		},
 		{
-			name: 'is not used after a suspension that only the wall clock shows', run(pair: Pair) {
+			name: 'is not used after a suspension that only the wall clock shows', run(pair: GatewayPair) {
 				pair.step(0, at(600));
 			}, at: {monotonicMs: 610, wallMs: 600 + leaseMs}, holders: [],
 		},
 		{
-			name: 'is lost by a holder that resumes and renews too late', run(pair: Pair) {
+			name: 'is lost by a holder that resumes and renews too late', run(pair: GatewayPair) {
 				pair.step(0, at(600));
 				for (let ms = 600; ms <= 3000; ms += 100) {
 					pair.step(1, at(ms));
@@ -93,7 +93,7 @@
 			}, at: at(3020), holders: ['b'],
 		},
 	])('$name', ({run, at: now, holders}) => {
-		const pair = new Pair();
+		const pair = new GatewayPair();
 		run(pair);
 		expect(pair.holders(now)).toEqual(holders);
 	});
@@ -108,19 +108,19 @@
 
 describe('a lease reader that starts after older records expired', () => {
 	it.each([
-		{name: 'is uncertain after one record', records: [renew(40)], certain: false},
-		{name: 'is certain once a record follows one that it has read', records: [renew(40), renew(50)], certain: true},
-		{name: 'ignores a losing claim before the valid records', records: [claim(30), renew(40), renew(51)], certain: true},
-		{name: 'ignores a losing claim between the valid records', records: [renew(40), claim(40), renew(50)], certain: true},
-		{name: 'ignores losing claims before and between the valid records', records: [claim(40), renew(45), claim(40), renew(51)], certain: true},
-	])('$name', ({records, certain}) => {
+		{name: 'is uncertain after one record', records: [renew(40)], isCertain: false},
+		{name: 'is certain once a record follows one that it has read', records: [renew(40), renew(50)], isCertain: true},
+		{name: 'ignores a losing claim before the valid records', records: [claim(30), renew(40), renew(51)], isCertain: true},
+		{name: 'ignores a losing claim between the valid records', records: [renew(40), claim(40), renew(50)], isCertain: true},
+		{name: 'ignores losing claims before and between the valid records', records: [claim(40), renew(45), claim(40), renew(51)], isCertain: true},
+	])('$name', ({records, isCertain}) => {
 		const table = new LeaseTable();
 		table.skipTo(50);
 		for (const [index, value] of records.entries()) {
 			table.apply(50 + index, value);
 		}
 
-		expect(table.isCertain).toBe(certain);
+		expect(table.isCertain).toBe(isCertain);
 		expect(table.lease).toEqual({holder: 'a', token: 7});
 	});
 });
--- a/src/coordination/__tests__/topic-follower.test.ts
+++ b/src/coordination/__tests__/topic-follower.test.ts
@@ -7,22 +7,22 @@
 import {waitUntil} from '../../testing/stack.js';
 import {TopicFollower} from '../topic-follower.js';
 
-type Following = {seen: string[]; belief: Belief; stop: AbortController; clock: SteadyClock; follower: TopicFollower};
+type Following = {seen: string[]; viewAge: Belief; stop: AbortController; clock: SteadyClock; follower: TopicFollower};
 
-function follow(store: FakeStore, {carriedMs = 0, isNewestEnough = false} = {}): Following {
+function follow(store: FakeStore, {maxRelayAgeMs = 0, canSkipToNewest = false} = {}): Following {
 	const seen: string[] = [];
-	const belief = new Belief();
+	const viewAge = new Belief();
 	const stop = new AbortController();
 	const clock = new SteadyClock();
 	const follower = new TopicFollower({
 		store,
 		topic: Topic.Config,
-		belief,
+		belief: viewAge,
 		clock,
 		waitMs: () => 5,
-		carriedMs: () => carriedMs,
+		carriedMs: () => maxRelayAgeMs,
 		mostBytes: 1024,
-		isNewestEnough,
+		isNewestEnough: canSkipToNewest,
 		gatherMs: 0,
 		sink: {
 			reset(records) {
@@ -35,7 +35,7 @@
 	});
 	void follower.run(stop.signal);
 	return {
-		seen, belief, stop, clock, follower,
+		seen, viewAge, stop, clock, follower,
 	};
 }
 
@@ -67,12 +67,12 @@
 
 	it('lets the view age while the store is down and confirms it once the store answers again', async () => {
 		const store = new FakeStore();
-		const {belief, stop, clock} = follow(store);
-		await waitUntil(async () => belief.isKnown, 1000);
+		const {viewAge, stop, clock} = follow(store);
+		await waitUntil(async () => viewAge.isKnown, 1000);
 		store.isDown = true;
-		await waitUntil(async () => belief.ageMs(clock.now()) > 400, 2000);
+		await waitUntil(async () => viewAge.ageMs(clock.now()) > 400, 2000);
 		store.isDown = false;
-		await waitUntil(async () => belief.ageMs(clock.now()) < 100, 2000);
+		await waitUntil(async () => viewAge.ageMs(clock.now()) < 100, 2000);
 		stop.abort();
 	});
 });
@@ -80,13 +80,13 @@
 describe('a TopicFollower whose reads the store rejects', () => {
 	it('reads less and less often, and confirms its view within a second once the store answers', async () => {
 		const store = new FakeStore();
-		const {belief, stop, clock} = follow(store);
-		await waitUntil(async () => belief.isKnown, 1000);
+		const {viewAge, stop, clock} = follow(store);
+		await waitUntil(async () => viewAge.isKnown, 1000);
 		store.isDown = true;
 		await delay(4000);
 		expect(store.refusals).toBeLessThanOrEqual(12);
 		store.isDown = false;
-		await waitUntil(async () => belief.ageMs(clock.now()) < 100, 1000);
+		await waitUntil(async () => viewAge.ageMs(clock.now()) < 100, 1000);
 		stop.abort();
 	});
 });
@@ -94,24 +94,24 @@
 describe('a TopicFollower of a topic that grows faster than it is read', () => {
 	it('lets its view age while a read returns fewer records than the store has', async () => {
 		const store = new FakeStore();
-		const {belief, stop, clock} = follow(store);
-		await waitUntil(async () => belief.isKnown, 1000);
+		const {viewAge, stop, clock} = follow(store);
+		await waitUntil(async () => viewAge.isKnown, 1000);
 		store.mostRecords = 0;
 		store.put(Topic.Config, 'a', '1');
-		await waitUntil(async () => belief.ageMs(clock.now()) > 300, 2000);
+		await waitUntil(async () => viewAge.ageMs(clock.now()) > 300, 2000);
 		store.mostRecords = 1;
-		await waitUntil(async () => belief.ageMs(clock.now()) < 100, 2000);
+		await waitUntil(async () => viewAge.ageMs(clock.now()) < 100, 2000);
 		stop.abort();
 	});
 
 	it.each([
-		{name: 'every record', isNewestEnough: false, passes: 20},
-		{name: 'only the newest record', isNewestEnough: true, passes: 1},
-	])('applies $name when one read does not return all of them', async ({isNewestEnough, passes}) => {
+		{name: 'every record', canSkipToNewest: false, applied: 20},
+		{name: 'only the newest record', canSkipToNewest: true, applied: 1},
+	])('applies $name when one read does not return all of them', async ({canSkipToNewest, applied}) => {
 		const store = new FakeStore();
 		store.mostRecords = 1;
-		const {belief, seen, stop, follower} = follow(store, {isNewestEnough});
-		await waitUntil(async () => belief.isKnown, 1000);
+		const {viewAge, seen, stop, follower} = follow(store, {canSkipToNewest});
+		await waitUntil(async () => viewAge.isKnown, 1000);
 		seen.length = 0;
 		for (let index = 0; index < 20; index++) {
 			store.put(Topic.Config, 'a', String(index));
@@ -119,7 +119,7 @@
 
 		await waitUntil(async () => follower.nextOffset === 20, 2000);
 		stop.abort();
-		expect(seen).toHaveLength(passes);
+		expect(seen).toHaveLength(applied);
 	});
 });
 
@@ -131,9 +131,9 @@
 		const store = new FakeStore();
 		store.put(Topic.Config, 'a', '1');
 		store.put(Topic.Config, 'b', '1');
-		const following = follow(store, {carriedMs: 300});
-		const {clock, belief, follower} = following;
-		await waitUntil(async () => belief.isKnown, 1000);
+		const following = follow(store, {maxRelayAgeMs: 300});
+		const {clock, viewAge, follower} = following;
+		await waitUntil(async () => viewAge.isKnown, 1000);
 		const confirm = (next: number, ageMs = 0) => {
 			follower.hear({next, ageMs, records: []}, clock.now(), clock.now());
 		};
@@ -144,7 +144,7 @@
 	}
 
 	it('does not read the store while they confirm its view, and reads again when they stop', async () => {
-		const {store, stop, confirm, belief, clock} = await startRelayConfirmed();
+		const {store, stop, confirm, viewAge, clock} = await startRelayConfirmed();
 		const readsBefore = store.reads;
 		for (let index = 0; index < 6; index++) {
 			confirm(2);
@@ -153,7 +153,7 @@
 		}
 
 		expect(store.reads).toBe(readsBefore);
-		expect(belief.ageMs(clock.now())).toBeLessThan(200);
+		expect(viewAge.ageMs(clock.now())).toBeLessThan(200);
 		await waitUntil(async () => store.reads > readsBefore, 1000);
 		stop.abort();
 	});
@@ -187,10 +187,10 @@
 	});
 
 	it('takes its view to be as old as the relay reports, counted from when the request was sent', async () => {
-		const {stop, clock, belief, follower} = await startRelayConfirmed();
+		const {stop, clock, viewAge, follower} = await startRelayConfirmed();
 		const nowMs = clock.now();
 		follower.hear({next: 2, ageMs: 100, records: []}, nowMs + 1000, nowMs + 1200);
-		expect(belief.ageMs(nowMs + 1200)).toBeCloseTo(300, 0);
+		expect(viewAge.ageMs(nowMs + 1200)).toBeCloseTo(300, 0);
 		stop.abort();
 	});
 });
--- a/src/coordination/cloud-client.ts
+++ b/src/coordination/cloud-client.ts
@@ -6,6 +6,7 @@
 import {fetchJson, requestJson} from '../transport/http-client.js';
 import {CoordinationError} from './errors.js';
 
+/** Timeout of a call, in milliseconds. */
 const timeoutMs = 3000;
 
 /** The cloud API refused to start a VM. */
@@ -49,7 +50,7 @@
 		return answer.body;
 	}
 
-	/** Stops a VM at once. */
+	/** Stops a VM immediately. */
 	async stopVm(name: string): Promise<void> {
 		await requestJson({
 			method: 'DELETE', url: `${this.url}/vms/${name}`, timeoutMs, mayStillSend: this.mayStillSend,
--- a/src/coordination/completions.ts
+++ b/src/coordination/completions.ts
@@ -29,15 +29,19 @@
 export const maxFailures = 3;
 /** How long a request that has begun waits for an engine to become available, in milliseconds. */
 export const engineWaitMs = 10_000;
+/** Interval between attempts to choose an engine meanwhile, in milliseconds. */
 const engineWaitPollMs = 100;
 /** Interval between checks of the requests on a leaving engine, in milliseconds. */
 const drainPollMs = 200;
 
 /** One token delivered to the caller. */
 export type Token = {
+	/** Index of the token in the whole completion. */
 	seq: number;
 	text: string;
+	/** Whether it is the last token of the completion. */
 	last: boolean;
+	/** Id of the engine that generated it. */
 	engine: string;
 };
 
@@ -45,6 +49,7 @@
 export type CompletionsContext = {
 	directory: BackendDirectory;
 	loads: LoadTracker;
+	/** Returns the difference in load up to which prefix affinity decides on the engine; undefined for the default. */
 	affinitySlack: () => number | undefined;
 };
 
@@ -58,7 +63,7 @@
 	moves = 0;
 	/** Number of streams moved together with their KV cache. */
 	kvMoves = 0;
-	private readonly active = new Set<ActiveCompletion>();
+	private readonly activeCompletions = new Set<ActiveCompletion>();
 	private readonly retries = new RetryAllowance(defaultRetryBound);
 
 	constructor(private readonly context: CompletionsContext) {
@@ -69,7 +74,7 @@
 
 	/** Number of requests being served. */
 	get inFlight(): number {
-		return this.active.size;
+		return this.activeCompletions.size;
 	}
 
 	/** Whether a known engine serves this model. */
@@ -93,7 +98,7 @@
 	 */
 	async * stream(job: CompletionJob, signal: AbortSignal): AsyncGenerator<Token> {
 		const completion = new ActiveCompletion(job, signal, stalled => stalled.failures + 1 < maxFailures && this.hasOtherEngine(stalled));
-		this.active.add(completion);
+		this.activeCompletions.add(completion);
 		this.retries.countRequest(job.model, Date.now());
 		try {
 			while (completion.delivered < job.maxTokens) {
@@ -102,7 +107,7 @@
 				yield * this.run(completion, engine);
 			}
 		} finally {
-			this.active.delete(completion);
+			this.activeCompletions.delete(completion);
 		}
 	}
 
@@ -131,7 +136,7 @@
 			for await (const chunk of chunks) {
 				this.countRecomputed(completion, chunk);
 				for (const due of sequencer.accept(chunk)) {
-					completion.noteToken(performance.now());
+					completion.countToken(performance.now());
 					yield {
 						seq: due.seq, text: due.choices[0].text, last: completion.delivered >= job.maxTokens, engine: engine.id,
 					};
@@ -270,7 +275,7 @@
 
 	/** Moves the requests on a leaving engine to others, except those that will finish in time. */
 	private moveRequests(backend: BackendServer, leavesAtMs: number, nowMs: number): void {
-		for (const completion of this.active) {
+		for (const completion of this.activeCompletions) {
 			if (completion.engine?.id !== backend.id || completion.isExporting) {
 				continue;
 			}
--- a/src/coordination/duty-lease.ts
+++ b/src/coordination/duty-lease.ts
@@ -2,7 +2,7 @@
  * Elects the daemon that performs the singleton duties. A claim is a record on a topic of
  * the platform's store. It is appended only if the topic still ends where the claiming
  * daemon last read it, so log order decides between concurrent claims, and the fencing
- * token of a claim is derived from its offset. The holder acts only while a recent read
+ * token of a claim follows from its offset. The holder acts only while a recent read
  * confirms that its claim is the newest. A new holder waits until its predecessor's last
  * confirmation must have expired.
  *
@@ -45,6 +45,7 @@
 /** The stored form of a claim. */
 type ClaimRecord = {holder: string};
 
+/** A claim that was read or reported; the fencing token is its offset plus one. */
 type Claim = {holder: string; token: number; seenAtMs: number};
 
 function isClaimRecord(value: unknown): value is ClaimRecord {
@@ -55,6 +56,7 @@
 export type ClaimInputs = {
 	/** Position of this daemon among those that may claim; undefined for a daemon that leaves claims to the relays, which receive all daemons' updates first. */
 	rank: number | undefined;
+	/** Whether at least half of the recently seen daemons are responsive. */
 	hearsMost: boolean;
 	/** When the holder was last known to be alive; undefined if it never was. */
 	holderLastSeenAtMs: number | undefined;
@@ -82,8 +84,10 @@
 export class DutyLease {
 	private nextOffset: number | undefined;
 	private newestClaim: Claim | undefined;
+	/** When the read that last confirmed the newest claim was sent. */
 	private confirmedAtMs = Number.NEGATIVE_INFINITY;
 	private holderLastSeenAtMs: number | undefined;
+	/** When this daemon may start to act on its claim. */
 	private mayActFromMs = 0;
 	private wasActing = false;
 	private lastUsageRecord: Uint8Array | undefined;
@@ -109,7 +113,9 @@
 		const isActing = this.isConfirmedAt(nowMs) && nowMs >= this.mayActFromMs;
 		if (isActing !== this.wasActing) {
 			this.wasActing = isActing;
-			log.info(isActing ? 'started to perform the duties.' : 'stopped performing the duties.', {token: this.newestClaim?.token, holder: this.newestClaim?.holder, viewAgeMs: Math.round(nowMs - this.confirmedAtMs)});
+			log.info(isActing ? 'started to perform the duties.' : 'stopped performing the duties.', {
+				token: this.newestClaim?.token, holder: this.newestClaim?.holder, viewAgeMs: Math.round(nowMs - this.confirmedAtMs),
+			});
 		}
 
 		return isActing ? this.newestClaim!.token : undefined;
--- a/src/coordination/duty-runner.ts
+++ b/src/coordination/duty-runner.ts
@@ -56,9 +56,10 @@
 /** How long the list of backend servers has been followed without interruption, and how long it has had no additions, in milliseconds. */
 export type ListStability = {followedForMs: number; unchangedForMs: number};
 
+/** The last order for one kind of VM in one failure domain, and its result. */
 type OrderState = {count: number; atMs: number; result: DutyResult; token: number};
 
-/** The parts of the daemon that the duties depend on. */
+/** The parts of the daemon that a {@link DutyRunner} depends on. */
 export type DutyParts = {
 	cloud: Cloud;
 	lease: DutyLease;
@@ -222,17 +223,17 @@
 }
 
 /** Whether an order must be sent: it is new, or the pool has not fulfilled the last one in time. */
-export function isOrderDue(wanted: number, present: number, last: OrderState | undefined, at: {bootMs: number; nowMs: number; token: number}): boolean {
+export function isOrderDue(wanted: number, present: number, last: OrderState | undefined, timing: {bootMs: number; nowMs: number; token: number}): boolean {
 	if (!last) {
 		// A new holder does not know what its predecessor last ordered.
 		return true;
 	}
 
-	if (last.token !== at.token) {
+	if (last.token !== timing.token) {
 		return last.count !== wanted || present !== wanted;
 	}
 
-	const ageMs = at.nowMs - last.atMs;
+	const ageMs = timing.nowMs - last.atMs;
 	if (last.result === DutyResult.Refused) {
 		return ageMs > refusedRetryMs && present !== wanted;
 	}
@@ -241,7 +242,7 @@
 		return ageMs > unansweredRetryMs;
 	}
 
-	return last.count !== wanted || (present < wanted && ageMs > at.bootMs + orderGraceMs);
+	return last.count !== wanted || (present < wanted && ageMs > timing.bootMs + orderGraceMs);
 }
 
 function sumOf(counts: WindowCounts): number {
--- a/src/coordination/flight.ts
+++ b/src/coordination/flight.ts
@@ -29,7 +29,7 @@
 
 /** The state of one completion being served. */
 export class ActiveCompletion {
-	/** Index of the next token that the caller needs. */
+	/** Number of tokens delivered, including those before a reconnect; also the index of the next token. */
 	delivered: number;
 	/** Number of runs begun on engines. */
 	runs = 0;
@@ -92,7 +92,7 @@
 	}
 
 	/** Counts a token that was delivered at `nowMs` by the monotonic clock. */
-	noteToken(nowMs: number): void {
+	countToken(nowMs: number): void {
 		this.delivered++;
 		this.tokensThisRun++;
 		this.firstTokenMs ??= nowMs;
--- a/src/coordination/journal.ts
+++ b/src/coordination/journal.ts
@@ -2,9 +2,9 @@
  * Ensures that a non-idempotent call runs at most once. Before a call is dispatched, its
  * intent is appended to the platform log's `journal` stream; each gateway batches its
  * intents into one append per `flushMs`. The call may be dispatched only if its intent is
- * the first one in log order for its client account and idempotency key. A call is never
- * retried after dispatch. A call whose intent is not the first is answered at once,
- * without waiting for the outcome of the call that won.
+ * the first one in log order for its client account and idempotency key, and is never
+ * dispatched again once any of it may have been sent. A call whose intent is not the first
+ * is answered at once, without waiting for the outcome of the call that won.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {randomUUID} from 'node:crypto';
@@ -20,7 +20,8 @@
 const log = createLogger('journal');
 
 /** How long a claim waits until its own intent is read back from the log, in milliseconds. */
-export const readBackMs = 5000;
+export const readBackTimeoutMs = 5000;
+/** Interval between checks whether the intent was read back, in milliseconds. */
 const readBackPollMs = 5;
 
 /** The outcomes of a claim. */
@@ -39,12 +40,13 @@
 export type ClaimRequest = {account: string; key: string; service: string};
 
 /** The outcome of a claim, and the intent that was written. */
-export type ClaimAnswer = {claim: ClaimOutcome; intent: Intent};
+export type ClaimResult = {outcome: ClaimOutcome; intent: Intent};
 
 type PendingAppend = {record: JournalRecord; settle: (result: {firstOffset: number; index: number} | Error) => void};
 
 /** The journal of one gateway: batches intents and decides on claims. */
 export class Journal {
+	/** Number of batches appended. */
 	batches = 0;
 	private queue: PendingAppend[] = [];
 	private isFlushScheduled = false;
@@ -70,17 +72,17 @@
 	 *
 	 * @param signal Aborts the wait for the read-back; the outcome is then {@link ClaimOutcome.Abandoned}.
 	 */
-	async claim({account, key, service}: ClaimRequest, signal: AbortSignal): Promise<ClaimAnswer> {
+	async claim({account, key, service}: ClaimRequest, signal: AbortSignal): Promise<ClaimResult> {
 		const intent: Intent = {
 			kind: JournalRecordKind.Intent, id: randomUUID(), account, key, service, gateway: this.gateway,
 		};
-		const claim = await this.appendAndDecide(intent, signal);
-		if (claim === ClaimOutcome.Abandoned) {
+		const outcome = await this.appendAndDecide(intent, signal);
+		if (outcome === ClaimOutcome.Abandoned) {
 			// The intent may still be appended; the release frees the key whether it arrives before or after the intent.
 			void this.release(intent);
 		}
 
-		return {claim, intent};
+		return {outcome, intent};
 	}
 
 	/** Releases an intent whose call was never sent. If the log refuses the release, the key stays taken. */
@@ -109,7 +111,7 @@
 			offset = appended.firstOffset + appended.index;
 		}
 
-		const deadlineAtMs = Date.now() + readBackMs;
+		const deadlineAtMs = Date.now() + readBackTimeoutMs;
 		while (!signal.aborted && Date.now() < deadlineAtMs) {
 			offset ??= this.table.offsetOf(intent.id);
 			if (offset !== undefined && this.table.appliedOffset >= offset) {
--- a/src/coordination/lease.ts
+++ b/src/coordination/lease.ts
@@ -36,7 +36,7 @@
 type PendingRecord = {id: string; kind: LeaseRecordKind; sent: Instant};
 
 /** Options of a {@link LeaseKeeper}. */
-export type LeaseOptions = {
+export type ControllerLeaseOptions = {
 	platformLog: PlatformLog;
 	table: LeaseTable;
 	/** This gateway's id. */
@@ -49,7 +49,7 @@
 export class LeaseKeeper {
 	/** Number of appends to the lease stream. */
 	appends = 0;
-	private readonly options: LeaseOptions;
+	private readonly options: ControllerLeaseOptions;
 	/** The fencing token this gateway holds or last held. */
 	private token: number | undefined;
 	/** When the last valid claim or renewal of this gateway was sent. */
@@ -58,7 +58,7 @@
 	/** When a valid record was last read, by the monotonic clock. */
 	private lastValidReadMs: number;
 
-	constructor(options: LeaseOptions, now: Instant) {
+	constructor(options: ControllerLeaseOptions, now: Instant) {
 		this.options = options;
 		this.lastValidReadMs = now.monotonicMs;
 	}
--- a/src/coordination/record-sinks.ts
+++ b/src/coordination/record-sinks.ts
@@ -1,4 +1,4 @@
-/** Apply the records of the followed topics to the daemon's tables. A record that cannot be decoded is logged and skipped. */
+/** The sinks that apply the records of the followed topics to the daemon's tables. A record that cannot be decoded is logged and skipped. */
 import {type KeyedRecord, type Records} from '../protocol/platform.js';
 import {type BackendTable} from '../state/backend-table.js';
 import {type RouteTable} from '../state/route-table.js';
--- a/src/coordination/service-calls.ts
+++ b/src/coordination/service-calls.ts
@@ -16,9 +16,9 @@
 const log = createLogger('services');
 
 /** Maximum number of backend servers that are tried for one call. */
-export const maxTargets = 3;
+export const maxAttempts = 3;
 /** How long a backend server is tried last after a failed call, in milliseconds. */
-export const avoidMs = 2000;
+export const avoidAfterFailureMs = 2000;
 
 /** A service call as the caller sent it. */
 export type ServiceCall = {
@@ -61,12 +61,12 @@
 			return this.dispatch(call);
 		}
 
-		const {claim, intent} = await this.journal.claim({account: call.account, key: call.idempotencyKey, service: call.service}, signal);
-		if (claim === ClaimOutcome.Taken) {
+		const {outcome, intent} = await this.journal.claim({account: call.account, key: call.idempotencyKey, service: call.service}, signal);
+		if (outcome === ClaimOutcome.Taken) {
 			throw new KeyTakenError(`idempotency key ${call.idempotencyKey} was already submitted`);
 		}
 
-		if (claim !== ClaimOutcome.Won) {
+		if (outcome !== ClaimOutcome.Won) {
 			throw new NotRecordedError(`call with idempotency key ${call.idempotencyKey} was not recorded`);
 		}
 
@@ -86,21 +86,21 @@
 		const tried = new Set<string>();
 		for (;;) {
 			const target = this.orderTargets(call.service, Date.now()).find(candidate => !tried.has(candidate.id));
-			if (!target || tried.size >= maxTargets) {
+			if (!target || tried.size >= maxAttempts) {
 				throw new NoBackendError(`no backend server of service ${call.service} could be reached`);
 			}
 
 			tried.add(target.id);
 			try {
-				// eslint-disable-next-line no-await-in-loop -- one backend server at a time, since the call could otherwise run twice.
+				// eslint-disable-next-line no-await-in-loop -- one backend server at a time, because the call could otherwise run twice.
 				return await requestJson({
 					method: 'POST', url: `${target.url}/v1/${call.call}`, payload: call.payload, headers: {'idempotency-key': call.idempotencyKey},
 				});
 			} catch (error) {
-				this.avoidedUntilMs.set(target.id, Date.now() + avoidMs);
+				this.avoidedUntilMs.set(target.id, Date.now() + avoidAfterFailureMs);
 				log.warn('backend server failed.', {service: call.service, backend: target.id, error: String(error)});
 				const wasNeverSent = error instanceof ConnectError;
-				if (!wasNeverSent && !(call.idempotent && tried.size < maxTargets && this.retries.take(call.service, RepeatPurpose.Retry, 1, Date.now()))) {
+				if (!wasNeverSent && !(call.idempotent && tried.size < maxAttempts && this.retries.take(call.service, RepeatPurpose.Retry, 1, Date.now()))) {
 					throw new OutcomeUnknownError(`call to ${target.id} may have run`, {cause: error});
 				}
 			}
--- a/src/coordination/topic-follower.ts
+++ b/src/coordination/topic-follower.ts
@@ -171,13 +171,13 @@
 	}
 
 	private get isRelayConfirmed(): boolean {
-		const carriedMs = this.options.carriedMs();
-		return carriedMs > 0 && !this.isMissingRecords && this.options.clock.now() - this.relayConfirmedAtMs <= carriedMs;
+		const maxRelayAgeMs = this.options.carriedMs();
+		return maxRelayAgeMs > 0 && !this.isMissingRecords && this.options.clock.now() - this.relayConfirmedAtMs <= maxRelayAgeMs;
 	}
 
 	/** Makes one read; returns whether it brought any records and reached the end of the topic. */
 	private async read(signal: AbortSignal): Promise<boolean> {
-		const {topic, belief, clock, isNewestEnough} = this.options;
+		const {topic, belief: viewAge, clock, isNewestEnough: canSkipToNewest} = this.options;
 		const sentAtMs = clock.now();
 		this.isMissingRecords = false;
 		const batch = this.next === undefined ? undefined : await this.readFrom(this.next, signal);
@@ -185,7 +185,7 @@
 			log.info('records expired, reading the newest of each key.', {topic});
 		}
 
-		if (!batch || (isNewestEnough && batch.next < batch.end)) {
+		if (!batch || (canSkipToNewest && batch.next < batch.end)) {
 			await this.readNewest(signal);
 			return false;
 		}
@@ -199,7 +199,7 @@
 
 		const isAtEnd = this.next! >= batch.end;
 		if (isAtEnd) {
-			belief.confirm(sentAtMs);
+			viewAge.confirm(sentAtMs);
 		}
 
 		return isAtEnd && batch.records.length > 0;
@@ -207,13 +207,13 @@
 
 	/** Reads records from an offset on, and waits for them unless the view's age is uncertain. */
 	private async readFrom(next: number, signal: AbortSignal): Promise<RecordBatch | undefined> {
-		const {store, topic, waitMs, mostBytes} = this.options;
+		const {store, topic, waitMs, mostBytes: maxBytes} = this.options;
 		const limits = this.shouldReadImmediately ? {waitMs: 0, answerMs: this.answerTimeoutMs} : {waitMs: waitMs(), answerMs};
-		return store.read(topic, next, {...limits, mostBytes}, signal);
+		return store.read(topic, next, {...limits, mostBytes: maxBytes}, signal);
 	}
 
 	private async readNewest(signal: AbortSignal): Promise<void> {
-		const {store, topic, sink, belief, clock} = this.options;
+		const {store, topic, sink, belief: viewAge, clock} = this.options;
 		const sentAtMs = clock.now();
 		const newest = await store.newest(topic, this.answerTimeoutMs, signal);
 		if (newest.next < (this.next ?? 0)) {
@@ -223,7 +223,7 @@
 		sink.reset(newest.records, clock.now());
 		this.next = newest.next;
 		this.recentRecords.clear();
-		belief.confirm(sentAtMs);
+		viewAge.confirm(sentAtMs);
 	}
 
 	/** Time allowed for an answer beyond the wait, in milliseconds; longer after failures, since a heavily loaded store answers late. */
@@ -243,9 +243,11 @@
 			return;
 		}
 
-		const {topic, belief, clock} = this.options;
+		const {topic, belief: viewAge, clock} = this.options;
 		if (isRelayConfirmed || this.wasRelayConfirmed !== undefined) {
-			log.info(isRelayConfirmed ? 'relays confirm the view, not reading the store.' : 'relay confirmation too old, reading the store.', {topic, next: this.next, viewAgeMs: Math.round(belief.ageMs(clock.now()))});
+			log.info(isRelayConfirmed ? 'relays confirm the view, not reading the store.' : 'relay confirmation too old, reading the store.', {
+				topic, next: this.next, viewAgeMs: Math.round(viewAge.ageMs(clock.now())),
+			});
 		}
 
 		this.wasRelayConfirmed = isRelayConfirmed;
@@ -270,9 +272,9 @@
 		this.shouldReadImmediately = true;
 		if (!this.isLost) {
 			this.isLost = true;
-			const {topic, belief, clock} = this.options;
+			const {topic, belief: viewAge, clock} = this.options;
 			log.warn('store read failed.', {
-				topic, error: String(error), cause: error instanceof Error ? String(error.cause) : '', viewAgeMs: Math.round(belief.ageMs(clock.now())),
+				topic, error: String(error), cause: error instanceof Error ? String(error.cause) : '', viewAgeMs: Math.round(viewAge.ageMs(clock.now())),
 			});
 		}
 	}
