--- a/src/coordination/__tests__/completions.test.ts
+++ b/src/coordination/__tests__/completions.test.ts
@@ -19,8 +19,8 @@
 }));
 const snapshot: KvSnapshot = {requestId: 'a.r', promptHash: 'h', tokens: 1};
 
-/** Runs a stream whose first engine is announced to leave after `leaveAt` tokens, and returns the counters. */
-async function play({tokenMs, acceptAfterMs, leaveAt}: {tokenMs: (delivered: number) => number; acceptAfterMs: number; leaveAt: number}): Promise<Record<string, number>> {
+/** Runs a stream whose first engine is announced to leave after `leaveAfterTokens` tokens, and returns the counters. */
+async function runStream({tokenMs, acceptAfterMs, leaveAfterTokens}: {tokenMs: (delivered: number) => number; acceptAfterMs: number; leaveAfterTokens: number}): Promise<Record<string, number>> {
 	const directory = new BackendDirectory(engines, () => new Set());
 	const loads = new LoadTracker(directory, 1000);
 	const completions = new Completions({directory, loads, affinitySlack: () => 4});
@@ -55,12 +55,12 @@
 		}
 	});
 
-	const leave = () => {
+	const announceLeaving = () => {
 		directory.noteLeaving(firstEngine!, LeavingSource.Notice, Date.now() + noticeMs, Date.now());
 	};
 
-	if (leaveAt === 0) {
-		setTimeout(leave, 20);
+	if (leaveAfterTokens === 0) {
+		setTimeout(announceLeaving, 20);
 	}
 
 	let delivered = 0;
@@ -69,8 +69,8 @@
 	};
 	for await (const _ of completions.stream(job, new AbortController().signal)) {
 		delivered++;
-		if (delivered === leaveAt) {
-			leave();
+		if (delivered === leaveAfterTokens) {
+			announceLeaving();
 		}
 	}
 
@@ -84,13 +84,13 @@
 
 	it.each([
 		{
-			name: 'before the engine accepts the request', tokenMs: () => 20, acceptAfterMs: 300, leaveAt: 0,
+			name: 'before the engine accepts the request', tokenMs: () => 20, acceptAfterMs: 300, leaveAfterTokens: 0,
 		},
 		{
-			name: 'while the engine is fast, and then slows down', tokenMs: (delivered: number) => delivered < 60 ? 1 : 40, acceptAfterMs: 0, leaveAt: 50,
+			name: 'while the engine is fast, and then slows down', tokenMs: (delivered: number) => delivered < 60 ? 1 : 40, acceptAfterMs: 0, leaveAfterTokens: 50,
 		},
 	])('is moved with its KV cache when the notice comes $name', async ({name: _, ...stream}) => {
-		const counters = await play(stream);
+		const counters = await runStream(stream);
 		expect(counters).toMatchObject({
 			delivered: maxTokens, moves: 1, kvMoves: 1, resumes: 0,
 		});
--- a/src/coordination/__tests__/config-outage.test.ts
+++ b/src/coordination/__tests__/config-outage.test.ts
@@ -40,7 +40,7 @@
 }
 
 /** Kills a gateway and starts it again with the same settings. */
-async function replace(name: string): Promise<void> {
+async function restartAfterKill(name: string): Promise<void> {
 	const old = stack.running.children.find(child => child.name === name)!;
 	process.kill(pidOf(stack, name), 'SIGKILL');
 	await old.exited;
@@ -50,10 +50,10 @@
 
 describe('an accepted configuration stays active', () => {
 	it.each([
-		{name: 'through an outage of the log', faults: {outage: true}, mended: {outage: false}},
-		{name: 'while the log is slow', faults: {slowMs: 300}, mended: {slowMs: 0}},
-		{name: 'while the log loses its answers', faults: {loseAnswers: 1}, mended: {loseAnswers: 0}},
-	])('$name', async ({faults, mended}) => {
+		{name: 'through an outage of the log', faults: {outage: true}, recovered: {outage: false}},
+		{name: 'while the log is slow', faults: {slowMs: 300}, recovered: {slowMs: 0}},
+		{name: 'while the log loses its answers', faults: {loseAnswers: 1}, recovered: {loseAnswers: 0}},
+	])('$name', async ({faults, recovered}) => {
 		await publishPreset(stack, preset('before'));
 		const before = await config(1);
 		await setFaults(stack.logUrl, faults);
@@ -66,7 +66,7 @@
 		expect(during.version).toBeGreaterThanOrEqual(before.version);
 		const answer = await receiveStream({url: stack.gateways[1].url, prompt: 'during the fault', maxTokens: 3});
 		expect(answer.done).toBe(true);
-		await setFaults(stack.logUrl, mended);
+		await setFaults(stack.logUrl, recovered);
 		const settled = await attempt;
 		expect(settled.body.accepted === true || settled.body.outcome === 'not-run').toBe(true);
 		await publishPreset(stack, preset('after'));
@@ -81,7 +81,7 @@
 		const before = await config(1);
 		// The records are now older than the retention period, so only snapshots still hold the configuration.
 		await delay(retentionMs * 2);
-		await replace('gateway-0');
+		await restartAfterKill('gateway-0');
 		await waitUntil(async () => await readiness(0) === 200);
 		const after = await config(0);
 		expect(after.active).toBe('kept');
@@ -91,7 +91,7 @@
 
 	it('and a gateway that cannot read it refuses requests as not run until it can', async () => {
 		await setFaults(stack.logUrl, {outage: true});
-		await replace('gateway-2');
+		await restartAfterKill('gateway-2');
 		await waitUntil(async () => await readiness(2) === 503);
 		const refused = await receiveStream({url: stack.gateways[2].url, prompt: 'too early', maxTokens: 3});
 		expect(refused.status).toBe(503);
--- a/src/coordination/__tests__/duty-runner.test.ts
+++ b/src/coordination/__tests__/duty-runner.test.ts
@@ -39,7 +39,7 @@
 		},
 	});
 	let demand: PoolDemand | undefined;
-	const state = {followedForMs: 0, unchangedForMs: 0};
+	const stability = {followedForMs: 0, unchangedForMs: 0};
 	const runner = new DutyRunner({
 		cloud,
 		lease,
@@ -49,13 +49,13 @@
 		clock,
 		name: 'a',
 		usageWindowMs: 5000,
-		list: () => state,
+		list: () => stability,
 		need() {
 			demand ??= new PoolDemand(backends.listed().length, time.ms);
 			return demand.need();
 		},
 	});
-	const list = (count: number) => {
+	const addBackends = (count: number) => {
 		for (let index = 0; index < count; index++) {
 			backends.upsert({
 				id: `b-${index}`, name: `b-${index}`, startedAtMs: undefined, service: 's', host: '10.0.0.1', port: index, failureDomain: index % 2 === 0 ? 'fd-a' : 'fd-b', slots: 16, state: BackendState.Ready, isReclaimable: false, leavesInMs: undefined, coldForMs: 0,
@@ -64,7 +64,7 @@
 	};
 
 	return {
-		runner, orders, list, state,
+		runner, orders, addBackends, stability,
 	};
 }
 
@@ -103,20 +103,20 @@
 		{followedForMs: 3000, unchangedForMs: 500, expected: false},
 		{followedForMs: 3000, unchangedForMs: 1500, expected: true},
 		{followedForMs: 9000, unchangedForMs: 100, expected: true},
-	])('is $expected after $followedForMs ms of following and $unchangedForMs ms without additions', ({expected, ...list}) => {
-		expect(isListComplete(list)).toBe(expected);
+	])('is $expected after $followedForMs ms of following and $unchangedForMs ms without additions', ({expected, ...stability}) => {
+		expect(isListComplete(stability)).toBe(expected);
 	});
 });
 
 describe('DutyRunner', () => {
 	it('orders nothing from an incomplete list, and then releases no VM before its replacement is ordered', async () => {
-		const {runner, orders, list, state} = await createRunner();
-		list(3);
+		const {runner, orders, addBackends, stability} = await createRunner();
+		addBackends(3);
 		await runner.step(signal);
 		expect(orders).toEqual([]);
-		list(40);
-		state.followedForMs = 3000;
-		state.unchangedForMs = 1600;
+		addBackends(40);
+		stability.followedForMs = 3000;
+		stability.unchangedForMs = 1600;
 		await runner.step(signal);
 		const reclaimable = orders.filter(order => order.isReclaimable).map(order => order.count);
 		const onDemand = orders.filter(order => !order.isReclaimable).map(order => order.count);
@@ -127,21 +127,21 @@
 
 describe('on a platform without fencing checks', () => {
 	it.each([
-		{name: 'the holder loses the store and regains it', cuts: [{daemon: 0, fromMs: 11_000, untilMs: 25_000}]},
-		{name: 'both daemons lose the store in turn', cuts: [{daemon: 0, fromMs: 11_000, untilMs: 18_000}, {daemon: 1, fromMs: 25_000, untilMs: 35_000}]},
-		{name: 'the interruptions are shorter than a lease', cuts: [{daemon: 0, fromMs: 11_000, untilMs: 13_000}, {daemon: 0, fromMs: 14_500, untilMs: 17_500}]},
-	])('no daemon acts under a lower token, or before and after another one within a lease, when $name', async ({cuts}) => {
+		{name: 'the holder loses the store and regains it', outages: [{daemon: 0, fromMs: 11_000, untilMs: 25_000}]},
+		{name: 'both daemons lose the store in turn', outages: [{daemon: 0, fromMs: 11_000, untilMs: 18_000}, {daemon: 1, fromMs: 25_000, untilMs: 35_000}]},
+		{name: 'the interruptions are shorter than a lease', outages: [{daemon: 0, fromMs: 11_000, untilMs: 13_000}, {daemon: 0, fromMs: 14_500, untilMs: 17_500}]},
+	])('no daemon acts under a lower token, or before and after another one within a lease, when $name', async ({outages}) => {
 		const {daemons, calls, time} = createUnfencedPair();
 		const startMs = time.ms;
 		for (; time.ms < startMs + 60_000; time.ms += 100) {
 			const atMs = time.ms - startMs;
 			for (const [index, daemon] of daemons.entries()) {
-				const isCut = cuts.some(cut => cut.daemon === index && atMs >= cut.fromMs && atMs < cut.untilMs);
-				daemon.ownStore.isDown = isCut;
+				const isDown = outages.some(outage => outage.daemon === index && atMs >= outage.fromMs && atMs < outage.untilMs);
+				daemon.ownStore.isDown = isDown;
 				daemon.usage.count('x', time.ms);
-				const others = daemons.filter(other => other !== daemon && !other.ownStore.isDown && !isCut);
-				for (const news of others.map(other => other.lease.news(time.ms)).filter(news => news !== undefined)) {
-					daemon.lease.hear(news, time.ms);
+				const others = daemons.filter(other => other !== daemon && !other.ownStore.isDown && !isDown);
+				for (const update of others.map(other => other.lease.news(time.ms)).filter(update => update !== undefined)) {
+					daemon.lease.hear(update, time.ms);
 				}
 
 				// eslint-disable-next-line no-await-in-loop -- the steps run in time order.
@@ -153,10 +153,10 @@
 
 		expect(new Set(calls.map(call => call.holder)).size).toBe(2);
 		for (const [index, call] of calls.entries()) {
-			const before = calls.slice(0, index);
-			expect(call.token).toBeGreaterThanOrEqual(Math.max(0, ...before.map(other => other.token)));
-			const lastOther = before.findLast(other => other.holder !== call.holder);
-			const ownBefore = lastOther && before.slice(0, before.indexOf(lastOther)).findLast(other => other.holder === call.holder);
+			const earlierCalls = calls.slice(0, index);
+			expect(call.token).toBeGreaterThanOrEqual(Math.max(0, ...earlierCalls.map(other => other.token)));
+			const lastOther = earlierCalls.findLast(other => other.holder !== call.holder);
+			const ownBefore = lastOther && earlierCalls.slice(0, earlierCalls.indexOf(lastOther)).findLast(other => other.holder === call.holder);
 			expect(ownBefore === undefined || call.atMs - ownBefore.atMs > 3000).toBe(true);
 		}
 	});
--- a/src/coordination/chunk-sequencer.ts
+++ b/src/coordination/chunk-sequencer.ts
@@ -18,7 +18,7 @@
 	/**
 	 * Accepts a chunk in order of arrival.
 	 *
-	 * @returns The chunks that are now complete up to a gap, in order; duplicates are dropped.
+	 * @returns The chunks that can now be delivered, in order; duplicates are dropped.
 	 * @throws {CoordinationError} When more than {@link maxBufferedChunks} chunks wait for a missing one.
 	 */
 	accept(chunk: EngineChunk): EngineChunk[] {
--- a/src/coordination/completions.ts
+++ b/src/coordination/completions.ts
@@ -29,7 +29,7 @@
 export const maxFailures = 3;
 /** How long a request that has begun waits for an engine to become available, in milliseconds. */
 export const engineWaitMs = 10_000;
-/** Interval between attempts to choose an engine meanwhile, in milliseconds. */
+/** Interval between the attempts to choose an engine during this wait, in milliseconds. */
 const engineWaitPollMs = 100;
 /** Interval between checks of the requests on a leaving engine, in milliseconds. */
 const drainPollMs = 200;
--- a/src/coordination/duty-lease.ts
+++ b/src/coordination/duty-lease.ts
@@ -84,7 +84,7 @@
 export class DutyLease {
 	private nextOffset: number | undefined;
 	private newestClaim: Claim | undefined;
-	/** When the read that last confirmed the newest claim was sent. */
+	/** When the request that last confirmed the newest claim was sent. */
 	private confirmedAtMs = Number.NEGATIVE_INFINITY;
 	private holderLastSeenAtMs: number | undefined;
 	/** When this daemon may start to act on its claim. */
--- a/src/coordination/duty-runner.ts
+++ b/src/coordination/duty-runner.ts
@@ -33,9 +33,10 @@
 const refusedRetryMs = 2500;
 /**
  * Time that the list of backend servers must have been followed before orders are based on
- * it, in milliseconds. Backend servers are listed again within two seconds of the store's
- * return. While the system starts, they register one by one: an order based on the first
- * 3 of 90 released the others, and one made after 2.5 s, based on 33, still released most.
+ * it, in milliseconds. Backend servers are listed again within two seconds after the store
+ * recovers. While the system starts, they register one by one, and an order based on an
+ * incomplete list releases those that are missing from it: with the first 3 of 90 listed,
+ * all others, and with 33 listed after 2.5 s, still most of them.
  */
 const minFollowedMs = 2500;
 /** Time for which the list must also have had no additions, in milliseconds. */
--- a/src/coordination/topic-follower.ts
+++ b/src/coordination/topic-follower.ts
@@ -29,7 +29,7 @@
 /** Number of missing records up to which a daemon waits for a relay to send them instead of reading them; two rounds' worth. */
 const maxAwaitedRecords = 8;
 
-/** Receives the records of a topic. */
+/** A receiver of the records of a topic. */
 export type RecordSink = {
 	/** Replaces the state by the newest record of every key; keys that are missing were deleted. */
 	reset(records: KeyedRecord[], nowMs: number): void;
