--- a/src/state/__tests__/backend-table.test.ts
+++ b/src/state/__tests__/backend-table.test.ts
@@ -10,28 +10,28 @@
 
 describe('BackendTable', () => {
 	it.each([
-		{name: 'a leaving one gets no new work', act: (table: BackendTable): unknown => table.upsert(backend('a', BackendState.Draining), 0), expected: ['b']},
+		{name: 'gives a leaving backend server no new work', act: (table: BackendTable): unknown => table.upsert(backend('a', BackendState.Draining), 0), expected: ['b']},
 		{
-			name: 'leaving is final', act(table: BackendTable): unknown {
+			name: 'does not use a leaving backend server again when a later entry says that it is ready', act(table: BackendTable): unknown {
 				table.upsert(backend('a', BackendState.Draining), 0);
 				return table.upsert(backend('a'), 0);
 			}, expected: ['b'],
 		},
-		{name: 'one that vanished gets no new work while another is there', act: (table: BackendTable): unknown => table.vanish('a', 0), expected: ['b']},
+		{name: 'gives a backend server whose entry was removed no new work while there is another', act: (table: BackendTable): unknown => table.vanish('a', 0), expected: ['b']},
 		{
-			name: 'one whose address answers as another gets no new work', act(table: BackendTable): unknown {
+			name: 'gives a backend server no new work when another one answers at its address', act(table: BackendTable): unknown {
 				table.replaced('a', 0);
 				return undefined;
 			}, expected: ['b'],
 		},
 		{
-			name: 'a full list drops what it lacks', act(table: BackendTable): unknown {
+			name: 'gives a backend server that is missing from a full list no new work', act(table: BackendTable): unknown {
 				table.retain(new Set(['b']), 0);
 				return undefined;
 			}, expected: ['b'],
 		},
 		{
-			name: 'one that came back after a lapse is used again', act(table: BackendTable): unknown {
+			name: 'uses a backend server again when its removed entry reappears', act(table: BackendTable): unknown {
 				table.vanish('a', 0);
 				return table.upsert(backend('a'), 500);
 			}, expected: ['a', 'b'],
@@ -44,14 +44,14 @@
 		expect(usable(table, 600)).toEqual(expected);
 	});
 
-	it('one that vanished is expected to go, and is not when it comes back', () => {
+	it('expects a backend server whose entry was removed to leave, until its entry reappears', () => {
 		const table = new BackendTable({drainMs});
 		table.upsert(backend('a'), 0);
 		expect(table.vanish('a', 100)?.leavesAtMs).toBe(100 + drainMs);
 		expect(table.upsert(backend('a'), 500).entry.leavesAtMs).toBeUndefined();
 	});
 
-	it('lapsed entries are used a moment when there is no other, and not as long as new work is forbidden', () => {
+	it('uses a backend server whose entry was removed for a short time if there is no other, but for less than the drain time', () => {
 		const table = new BackendTable({drainMs});
 		table.upsert(backend('a'), 0);
 		table.vanish('a', 1000);
@@ -59,52 +59,52 @@
 		expect(usable(table, 1000 + drainMs)).toEqual([]);
 	});
 
-	it.each([{leavesInMs: undefined, expected: drainMs}, {leavesInMs: 2600, expected: 2600}])('leaves after $leavesInMs', ({leavesInMs, expected}) => {
+	it.each([{leavesInMs: undefined, expected: drainMs}, {leavesInMs: 2600, expected: 2600}])('expects a backend server to leave after $expected ms if its entry says $leavesInMs', ({leavesInMs, expected}) => {
 		const table = new BackendTable({drainMs});
 		expect(table.upsert(backend('a', BackendState.Draining, leavesInMs), 0).entry.leavesAtMs).toBe(expected);
 	});
 });
 
-describe('a backend server that starts again under its name', () => {
+describe('a backend server that restarts under its name', () => {
 	const started = (startedAtMs: number, service = 's'): Backend => ({
 		...backend(`a@${startedAtMs}`), name: 'a', startedAtMs, service,
 	});
 
 	it.each([
 		{
-			name: 'is a new one, though the old one was leaving', act(table: BackendTable) {
+			name: 'is usable although the previous start was leaving', act(table: BackendTable) {
 				table.upsert({...started(1), state: BackendState.Draining}, 0);
 				table.upsert(started(2), 100);
 			}, expected: ['a@2'],
 		},
 		{
-			name: 'is not overwritten by a late entry of its earlier start', act(table: BackendTable) {
+			name: 'is not overwritten by a late entry of its previous start', act(table: BackendTable) {
 				table.upsert(started(2), 0);
 				table.upsert({...started(1), state: BackendState.Draining}, 100);
 			}, expected: ['a@2'],
 		},
 		{
-			name: 'comes back after its entry was removed', act(table: BackendTable) {
+			name: 'is usable after the entry of its previous start was removed', act(table: BackendTable) {
 				table.upsert(started(1), 0);
 				table.vanish('a', 100);
 				table.upsert(started(2), 200);
 			}, expected: ['a@2'],
 		},
 		{
-			name: 'is found under its new service only', act(table: BackendTable) {
+			name: 'is found only under its new service', act(table: BackendTable) {
 				table.upsert(started(1), 0);
 				table.upsert(started(1, 'other'), 100);
 			}, expected: [],
 		},
 		{
-			name: 'gets no work while its entry is unreadable and another is there', act(table: BackendTable) {
+			name: 'gets no new work while its entry is unreadable and there is another backend server', act(table: BackendTable) {
 				table.upsert(started(1), 0);
 				table.upsert(backend('b'), 0);
 				table.withhold('a', 100);
 			}, expected: ['b'],
 		},
 		{
-			name: 'gets work again once its entry is readable', act(table: BackendTable) {
+			name: 'gets new work again once its entry is readable', act(table: BackendTable) {
 				table.upsert(started(1), 0);
 				table.upsert(backend('b'), 0);
 				table.withhold('a', 100);
@@ -117,7 +117,7 @@
 		expect(usable(table, 300)).toEqual(expected);
 	});
 
-	it('has ended before', () => {
+	it('proves that its previous start has ended', () => {
 		const table = new BackendTable({drainMs});
 		table.upsert(started(1), 0);
 		expect(table.get('a@1')?.isEnded).toBe(false);
@@ -125,7 +125,7 @@
 		expect(table.get('a@1')).toMatchObject({isEnded: true, leavesAtMs: 100});
 	});
 
-	it('one whose entry is unreadable is not expected to leave', () => {
+	it('is not expected to leave when its entry is unreadable', () => {
 		const table = new BackendTable({drainMs});
 		table.upsert(started(1), 0);
 		table.withhold('a', 100);
--- a/src/state/__tests__/config-table.test.ts
+++ b/src/state/__tests__/config-table.test.ts
@@ -13,28 +13,28 @@
 describe('ConfigTable', () => {
 	it.each([
 		{
-			name: 'two operators race on one base: the first in log order wins',
+			name: 'accepts the first in log order of two concurrent changes with the same base',
 			records: [preset('ordinary', 'desk', -1), preset('peak', 'desk', 0), preset('maintenance', 'pricing', 0)],
 			accepted: [true, true, false],
 			version: 1,
 			presets: ['ordinary', 'peak'],
 		},
 		{
-			name: 'a team cannot change another team\'s preset',
+			name: 'rejects a change of another team\'s preset',
 			records: [preset('ordinary', 'desk', -1), preset('ordinary', 'pricing', 0)],
 			accepted: [true, false],
 			version: 0,
 			presets: ['ordinary'],
 		},
 		{
-			name: 'activating a preset that does not exist is rejected',
+			name: 'rejects the activation of a preset that does not exist',
 			records: [activate('ghost', 'desk', -1)],
 			accepted: [false],
 			version: -1,
 			presets: [],
 		},
 		{
-			name: 'a change based on an old version is rejected',
+			name: 'rejects a change based on an old version',
 			records: [preset('ordinary', 'desk', -1), activate('ordinary', 'desk', 0), preset('peak', 'desk', 0)],
 			accepted: [true, true, false],
 			version: 1,
@@ -48,7 +48,7 @@
 		expect([...table.presets.keys()]).toEqual(presets);
 	});
 
-	it('never applies an offset twice or goes back', () => {
+	it('ignores a record at an offset that was already applied', () => {
 		const table = new ConfigTable();
 		table.apply(0, preset('ordinary', 'desk', -1));
 		table.apply(1, activate('ordinary', 'desk', 0));
--- a/src/state/__tests__/models.test.ts
+++ b/src/state/__tests__/models.test.ts
@@ -4,7 +4,7 @@
 import path from 'node:path';
 import {describe, expect, it} from 'vitest';
 
-/** Runs spin's exhaustive safety check of a model and returns the error count. */
+/** Runs spin's exhaustive safety check of a model, compiled with the given macros, and returns the number of errors. */
 function verify(model: string, defines: string[]): number {
 	const dir = mkdtempSync(path.join(tmpdir(), 'sesametally-spin-'));
 	execFileSync('spin', [...defines, '-a', path.resolve('model', model)], {cwd: dir});
@@ -27,55 +27,55 @@
 describe('model check (spin)', () => {
 	it.each([
 		{
-			model: 'config.pml', name: 'readers agree, one winner per base, no revert', defines: [], errors: 0,
+			model: 'config.pml', name: 'readers agree, accept one record per base and never revert', defines: [], errors: 0,
 		},
 		{
-			model: 'config.pml', name: 'a reader that accepts any record is caught', defines: ['-DACCEPT_ANY'], errors: 1,
+			model: 'config.pml', name: 'finds a reader that accepts any record', defines: ['-DACCEPT_ANY'], errors: 1,
 		},
 		{
-			model: 'lease.pml', name: 'no order under an older fencing token', defines: [], errors: 0,
+			model: 'lease.pml', name: 'no order is accepted under an older fencing token', defines: [], errors: 0,
 		},
 		{
-			model: 'lease.pml', name: 'a holder that does not look at its clock is caught', defines: ['-DNO_EXPIRY'], errors: 1,
+			model: 'lease.pml', name: 'finds a lease holder that does not check its clock', defines: ['-DNO_EXPIRY'], errors: 1,
 		},
 		{
-			model: 'lease.pml', name: 'gateways that claim without waiting are caught', defines: ['-DNO_WAIT'], errors: 1,
+			model: 'lease.pml', name: 'finds gateways that claim the lease without waiting for its expiry', defines: ['-DNO_WAIT'], errors: 1,
 		},
 		{
-			model: 'belief.pml', name: 'no key is served later than its revocation allows', defines: [], errors: 0,
+			model: 'belief.pml', name: 'no API key is accepted longer than the revocation bound after its revocation', defines: [], errors: 0,
 		},
 		{
-			model: 'belief.pml', name: 'an age that counts from the answer is caught', defines: ['-DAGE_FROM_ANSWER'], errors: 1,
+			model: 'belief.pml', name: 'finds a view age that counts from the arrival of the answer', defines: ['-DAGE_FROM_ANSWER'], errors: 1,
 		},
 		{
-			model: 'belief.pml', name: 'a clock that stands still during a suspension is caught', defines: ['-DMONOTONIC_ONLY'], errors: 1,
+			model: 'belief.pml', name: 'finds a clock that stops while the machine is suspended', defines: ['-DMONOTONIC_ONLY'], errors: 1,
 		},
 		{
-			model: 'relayed.pml', name: 'nor by one that goes by what a relay says', defines: [], errors: 0,
+			model: 'relayed.pml', name: 'no API key is accepted too long by a daemon whose view is confirmed by a relay', defines: [], errors: 0,
 		},
 		{
-			model: 'relayed.pml', name: 'an age that counts from when the relay\'s answer came is caught', defines: ['-DAGE_FROM_RECEIPT'], errors: 1,
+			model: 'relayed.pml', name: 'finds a view age that counts from the arrival of the relay\'s answer', defines: ['-DAGE_FROM_RECEIPT'], errors: 1,
 		},
 		{
-			model: 'relayed.pml', name: 'a view that lacks what the relay has read is caught', defines: ['-DIGNORE_MISSING'], errors: 1,
+			model: 'relayed.pml', name: 'finds a daemon that accepts the relay\'s confirmation although its view lacks records that the relay has read', defines: ['-DIGNORE_MISSING'], errors: 1,
 		},
 		{
-			model: 'quarantine.pml', name: 'an end counts once, and none from before a completed run', defines: [], errors: 0,
+			model: 'quarantine.pml', name: 'a crash counts once, and not at all if it preceded a completed run', defines: [], errors: 0,
 		},
 		{
-			model: 'quarantine.pml', name: 'a count of messages is caught', defines: ['-DCOUNT_MESSAGES'], errors: 1,
+			model: 'quarantine.pml', name: 'finds daemons that count crash reports instead of crashes', defines: ['-DCOUNT_MESSAGES'], errors: 1,
 		},
 		{
-			model: 'quarantine.pml', name: 'ends taken again after a completed run are caught', defines: ['-DIGNORE_CLEARED'], errors: 1,
+			model: 'quarantine.pml', name: 'finds daemons that accept older crash reports after a completed run', defines: ['-DIGNORE_CLEARED'], errors: 1,
 		},
 		{
-			model: 'duties.pml', name: 'no daemon acts on both sides of another within a lease', defines: [], errors: 0,
+			model: 'duties.pml', name: 'no duty holder acts both before and after another one within a lease duration', defines: [], errors: 0,
 		},
 		{
-			model: 'duties.pml', name: 'a new holder that acts at once is caught', defines: ['-DNO_QUIET'], errors: 1,
+			model: 'duties.pml', name: 'finds a new duty holder that acts without waiting', defines: ['-DNO_QUIET'], errors: 1,
 		},
 		{
-			model: 'duties.pml', name: 'a holder that acts on any view is caught', defines: ['-DNO_CONFIRM'], errors: 1,
+			model: 'duties.pml', name: 'finds a duty holder that acts on an unconfirmed view', defines: ['-DNO_CONFIRM'], errors: 1,
 		},
 	])('$model: $name', ({model, defines, errors}) => {
 		expect(verify(model, defines)).toBe(errors);
--- a/src/state/__tests__/route-table.test.ts
+++ b/src/state/__tests__/route-table.test.ts
@@ -29,11 +29,11 @@
 		{host: 'h.example', path: '/a?x=/a/b/', expected: undefined},
 		{host: 'o.example', path: '/a/b/x', expected: 'other'},
 		{host: 'n.example', path: '/a/', expected: undefined},
-	])('$host$path goes to $expected', ({host, path, expected}) => {
+	])('$host$path matches route $expected', ({host, path, expected}) => {
 		expect(table.match(host, path)?.name).toBe(expected);
 	});
 
-	it('takes the longest prefix of any routes and path, as a look at every route does', () => {
+	it('finds the same longest prefix as a scan of all routes, for random routes and paths', () => {
 		const segments = fc.array(fc.constantFrom('a', 'b', ''), {maxLength: 5});
 		const prefix = segments.map(parts => parts.length === 0 ? '/' : `/${parts.join('/')}/`);
 		fc.assert(fc.property(fc.array(prefix, {maxLength: 8}), segments, (prefixes, parts) => {
@@ -46,7 +46,7 @@
 		}), {seed: 31, numRuns: 500});
 	});
 
-	it.each([{version: 7, taken: false}, {version: 6, taken: false}, {version: 9, taken: true}])('version $version after 7: $taken', ({version, taken}) => {
+	it.each([{version: 7, taken: false}, {version: 6, taken: false}, {version: 9, taken: true}])('applies version $version after version 7: $taken', ({version, taken}) => {
 		const other = new RouteTable();
 		other.apply(config(7, [], ['k1']));
 		expect(other.apply(config(version, [], ['k2']))).toBe(taken);
--- a/src/state/backend-table.ts
+++ b/src/state/backend-table.ts
@@ -1,60 +1,61 @@
 /**
- * The backend servers that the platform lists. A backend server is one start of a process:
- * one that starts again under its name is a new one, and nothing known of the old one counts
- * for it. Leaving is final for a start. An entry that vanishes without having left is kept
- * aside for a moment, because entries also lapse while the store is out of order and come
- * back when it returns.
+ * The backend servers that the platform lists. Each start of a process is a backend server of
+ * its own: a process that restarts under the same name gets a new entry, which inherits nothing
+ * from the old one. A backend server that has begun to leave never becomes usable again. An
+ * entry that is removed although its backend server was not leaving stays usable as a fallback
+ * for a short time, because entries also expire during an outage of the store and reappear
+ * after it.
  */
 import {type Backend, BackendState} from '../protocol/serving.js';
 
-/** How long a backend server whose entry vanished may still be used when no other is left, in milliseconds; below the bound on new work for leaving ones. */
-const vanishedUseMs = 800;
+/** How long a backend server whose entry was removed may still be used when no other is left, in milliseconds; shorter than the time within which a leaving one must get no new work. */
+const unlistedUseMs = 800;
 
-/** A backend server and what is known of its leaving. */
+/** A backend server, and whether and when it leaves. */
 export type BackendEntry = {
 	backend: Backend;
-	/** When the daemon first heard of it. */
+	/** When the daemon first read an entry of it. */
 	seenAtMs: number;
-	/** When the daemon learned that it leaves or is gone. */
+	/** When the daemon learned that it is leaving or gone. */
 	leavingSinceMs: number | undefined;
 	/** When it is expected to be gone. */
 	leavesAtMs: number | undefined;
-	/** When its entry vanished. */
+	/** When its entry was removed or became unreadable. */
 	vanishedAtMs: number | undefined;
-	/** Whether another start under its name proves that it has ended. */
+	/** Whether it has certainly ended, because a later start under its name is listed. */
 	isEnded: boolean;
 };
 
-/** What an entry of the platform's list changed. */
-export type ListChange = {
+/** The result of adding or updating an entry. */
+export type UpsertResult = {
 	entry: BackendEntry;
-	/** Whether it began to leave with this entry. */
+	/** Whether this update was the first to say that it is leaving. */
 	beganToLeave: boolean;
 	/** Whether this start was not known before. */
 	isNew: boolean;
 };
 
-/** The backend servers there are. */
+/** The known backend servers, by id, name and service. */
 export class BackendTable {
-	/** By the id of a start. */
-	private readonly entries = new Map<string, BackendEntry>();
-	/** The latest start of each name. */
-	private readonly latest = new Map<string, BackendEntry>();
+	/** The entries by {@link Backend.id}, which is unique to one start. */
+	private readonly entriesById = new Map<string, BackendEntry>();
+	/** The latest start under each name. */
+	private readonly latestByName = new Map<string, BackendEntry>();
 	private readonly byService = new Map<string, BackendEntry[]>();
 
-	/** @param bounds `drainMs` is how long a leaving backend server serves on, unless it says otherwise. */
+	/** @param bounds `drainMs` is how long a leaving backend server continues to serve, unless its entry states a time. */
 	constructor(private readonly bounds: {drainMs: number}) {}
 
-	/** Takes an entry of the platform's list; one of an earlier start than the latest changes nothing. */
-	upsert(backend: Backend, nowMs: number): ListChange {
-		const latest = this.latest.get(backend.name);
-		if (latest && startOf(backend) < startOf(latest.backend)) {
+	/** Adds or updates an entry from the platform's list; an entry of an earlier start than the latest one is ignored. */
+	upsert(backend: Backend, nowMs: number): UpsertResult {
+		const latest = this.latestByName.get(backend.name);
+		if (latest && startTime(backend) < startTime(latest.backend)) {
 			return {entry: latest, beganToLeave: false, isNew: false};
 		}
 
 		const isNew = latest?.backend.id !== backend.id;
 		if (latest && isNew) {
-			this.end(latest, nowMs);
+			this.markEnded(latest, nowMs);
 		}
 
 		const entry = isNew ? this.add(backend, nowMs) : latest;
@@ -68,37 +69,37 @@
 		return {entry, beganToLeave, isNew};
 	}
 
-	/** Notes that the entry of a name was removed from the platform's list. */
+	/** Records that the entry of a name was removed from the platform's list. */
 	vanish(name: string, nowMs: number): BackendEntry | undefined {
-		const entry = this.latest.get(name);
+		const entry = this.latestByName.get(name);
 		if (entry && entry.vanishedAtMs === undefined) {
 			entry.vanishedAtMs = nowMs;
-			// Some leave without saying so first, and serve on for as long as the others.
+			// Some backend servers leave without announcing it, and serve for as long as those that do.
 			entry.leavesAtMs ??= nowMs + this.bounds.drainMs;
 		}
 
 		return entry;
 	}
 
-	/** Notes that the entry of a name cannot be read: it gets no new work until one can, and its running work goes on, since it need not be leaving. */
+	/** Records that the latest entry of a name cannot be decoded: the backend server gets no new work until a readable entry arrives, but its running work continues, since it is not necessarily leaving. */
 	withhold(name: string, nowMs: number): void {
-		const entry = this.latest.get(name);
+		const entry = this.latestByName.get(name);
 		if (entry) {
 			entry.vanishedAtMs ??= nowMs;
 		}
 	}
 
-	/** Notes that another backend server answers at the address of this one. */
+	/** Records that another backend server now answers at the address of this one. */
 	replaced(id: string, nowMs: number): void {
-		const entry = this.entries.get(id);
+		const entry = this.entriesById.get(id);
 		if (entry) {
 			entry.leavingSinceMs ??= nowMs;
 		}
 	}
 
-	/** Makes the table match a full list: entries whose names it lacks have vanished. */
+	/** Makes the table match a full list: entries whose names are not on it count as removed. */
 	retain(names: ReadonlySet<string>, nowMs: number): void {
-		for (const name of this.latest.keys()) {
+		for (const name of this.latestByName.keys()) {
 			if (!names.has(name)) {
 				this.vanish(name, nowMs);
 			}
@@ -106,51 +107,51 @@
 	}
 
 	get(id: string): BackendEntry | undefined {
-		return this.entries.get(id);
+		return this.entriesById.get(id);
 	}
 
-	/** Backend servers of a service that may get new work; lapsed ones only when there is no other. */
+	/** Returns the backend servers of a service that may get new work; those whose entry was recently removed only if there is no other. */
 	candidates(service: string, nowMs: number): Backend[] {
 		const staying = (this.byService.get(service) ?? []).filter(entry => entry.leavingSinceMs === undefined);
 		const listed = staying.filter(entry => entry.vanishedAtMs === undefined);
-		const usable = listed.length > 0 ? listed : staying.filter(entry => nowMs - entry.vanishedAtMs! <= vanishedUseMs);
+		const usable = listed.length > 0 ? listed : staying.filter(entry => nowMs - entry.vanishedAtMs! <= unlistedUseMs);
 		return usable.map(entry => entry.backend);
 	}
 
-	/** Backend servers that the platform lists, the leaving ones included. */
+	/** Returns the backend servers that the platform lists, including leaving ones. */
 	listed(): BackendEntry[] {
-		return [...this.entries.values()].filter(entry => entry.vanishedAtMs === undefined);
+		return [...this.entriesById.values()].filter(entry => entry.vanishedAtMs === undefined);
 	}
 
-	/** Forgets entries that vanished long ago. */
+	/** Deletes entries that were removed from the platform's list more than `olderThanMs` ago. */
 	prune(olderThanMs: number, nowMs: number): void {
-		for (const [id, entry] of this.entries) {
+		for (const [id, entry] of this.entriesById) {
 			if (entry.vanishedAtMs !== undefined && nowMs - entry.vanishedAtMs > olderThanMs) {
-				this.entries.delete(id);
+				this.entriesById.delete(id);
 				this.removeFromService(entry);
-				if (this.latest.get(entry.backend.name) === entry) {
-					this.latest.delete(entry.backend.name);
+				if (this.latestByName.get(entry.backend.name) === entry) {
+					this.latestByName.delete(entry.backend.name);
 				}
 			}
 		}
 	}
 
-	/** What a state dump shows. */
+	/** Returns the entries for state dumps. */
 	toJson(): unknown {
-		return [...this.entries.values()];
+		return [...this.entriesById.values()];
 	}
 
 	private add(backend: Backend, nowMs: number): BackendEntry {
 		const entry: BackendEntry = {
 			backend, seenAtMs: nowMs, leavingSinceMs: undefined, leavesAtMs: undefined, vanishedAtMs: undefined, isEnded: false,
 		};
-		this.entries.set(backend.id, entry);
-		this.latest.set(backend.name, entry);
+		this.entriesById.set(backend.id, entry);
+		this.latestByName.set(backend.name, entry);
 		this.addToService(entry);
 		return entry;
 	}
 
-	/** Takes what a further entry says of a start. */
+	/** Updates the entry of a start that is already known. */
 	private update(entry: BackendEntry, backend: Backend): void {
 		if (entry.backend.service !== backend.service) {
 			this.removeFromService(entry);
@@ -165,8 +166,8 @@
 		}
 	}
 
-	/** Notes that a start has ended, since a later one of its name is listed. */
-	private end(entry: BackendEntry, nowMs: number): void {
+	/** Records that a start has ended, since a later start under its name is listed. */
+	private markEnded(entry: BackendEntry, nowMs: number): void {
 		entry.isEnded = true;
 		entry.leavingSinceMs ??= nowMs;
 		entry.vanishedAtMs ??= nowMs;
@@ -184,7 +185,7 @@
 	}
 }
 
-/** A start's place in the order of the starts of one name; one that does not say comes before all that do. */
-function startOf({startedAtMs}: Backend): number {
+/** Returns the time by which starts under one name are ordered; a start without a time comes first. */
+function startTime({startedAtMs}: Backend): number {
 	return startedAtMs ?? Number.NEGATIVE_INFINITY;
 }
--- a/src/state/belief.ts
+++ b/src/state/belief.ts
@@ -1,10 +1,10 @@
 /**
- * How old the daemon's view of the platform's store is. A view is confirmed as of the
- * moment the read that returned it was sent: a change made after that may be missing from
- * it, however late the answer came.
+ * The age of the daemon's view of a topic of the platform's store. The age counts from the
+ * moment at which the read that returned the view was sent, not from its answer: a change
+ * made in between may be missing from the answer, however late it arrives.
  */
 
-/** The age of one view, on a clock that counts suspensions. */
+/** The age of one view, measured on a clock that also advances while the machine is suspended. */
 export class Belief {
 	private confirmedAtMs: number | undefined;
 
@@ -12,12 +12,12 @@
 		return this.confirmedAtMs !== undefined;
 	}
 
-	/** Notes a read that was sent at `sentAtMs` and answered. */
+	/** Records that the view was current at `sentAtMs`, when a read that has been answered was sent. */
 	confirm(sentAtMs: number): void {
 		this.confirmedAtMs = Math.max(this.confirmedAtMs ?? sentAtMs, sentAtMs);
 	}
 
-	/** Milliseconds since the view was known to be current; infinite before the first read. */
+	/** Returns the time since the view was last known to be current, in milliseconds; infinite before the first read. */
 	ageMs(nowMs: number): number {
 		return this.confirmedAtMs === undefined ? Number.POSITIVE_INFINITY : nowMs - this.confirmedAtMs;
 	}
--- a/src/state/config-table.ts
+++ b/src/state/config-table.ts
@@ -1,21 +1,22 @@
 /**
- * The configuration as rebuilt from the `config` stream: presets, the preset in
- * force, drained backend servers, and the version (the offset of the last accepted
- * record). Records are applied strictly in offset order; a record whose base is not
- * the current version lost a race and is rejected, identically by every reader.
+ * The configuration, rebuilt from the `config` stream: presets, the active preset,
+ * drained backend servers, and the version (the offset of the last accepted record).
+ * Records are applied strictly in offset order. A record whose base is not the current
+ * version is rejected, because a concurrent change came first; every reader decides so
+ * alike.
  */
 import {
 	type ConfigRecord, type ConfigSnapshot, ConfigRecordKind, type Preset,
 } from '../protocol/config-records.js';
 
-/** What became of one record. */
+/** Whether one record was accepted. */
 export type ConfigOutcome = {
 	offset: number;
 	accepted: boolean;
 	reason?: string;
 };
 
-const keptOutcomes = 1000;
+const maxOutcomes = 1000;
 const knownKinds = new Set<string>(Object.values(ConfigRecordKind));
 
 /** The configuration of the fleet at one version. */
@@ -27,31 +28,30 @@
 	active: string | undefined;
 	readonly presets = new Map<string, {team: string; preset: Preset}>();
 	readonly drained = new Set<string>();
-	/** Recent outcomes by record id, for publishers waiting on their record. */
+	/** Recent outcomes by record id, for publishers that wait for their record. */
 	readonly outcomes = new Map<string, ConfigOutcome>();
-	/** Whether records expired before they were read and no snapshot has stood in for them yet. */
+	/** Whether records expired before they were read and no snapshot has replaced them yet. */
 	isMissingHistory = false;
-	/** Whether the table has been level with the end of the stream once. */
+	/** Whether the table has reached the end of the stream at least once. */
 	hasCaughtUp = false;
-	/** When the last snapshot read was appended, by the log's clock. */
+	/** When the last snapshot that was read had been appended, by the log's clock. */
 	lastSnapshotMs: number | undefined;
-	/** Records read while history is missing, until a snapshot tells what they follow. */
-	private held: Array<{offset: number; record: ConfigRecord}> = [];
+	/** Records read while history is missing; they are decided once a snapshot supplies the version that they follow. */
+	private heldRecords: Array<{offset: number; record: ConfigRecord}> = [];
 
-	/** Whether the configuration in force is known here. */
+	/** Whether this reader knows the current configuration. */
 	get isKnown(): boolean {
 		return this.hasCaughtUp && !this.isMissingHistory;
 	}
 
-	/** The preset in force, if any. */
+	/** The active preset, if any. */
 	get activePreset(): Preset | undefined {
 		return this.active === undefined ? undefined : this.presets.get(this.active)?.preset;
 	}
 
 	/**
-	 * Applies the record at `offset`. Offsets must rise; an offset at or below the
-	 * last applied one is ignored, so a record is never applied twice and config
-	 * never reverts.
+	 * Applies the record at `offset`. A record at or below the last applied offset is
+	 * ignored, so that no record is applied twice and the configuration never reverts.
 	 */
 	apply(offset: number, record: ConfigRecord): ConfigOutcome {
 		if (offset <= this.appliedOffset) {
@@ -64,29 +64,29 @@
 		}
 
 		if (this.isMissingHistory) {
-			this.held.push({offset, record});
+			this.heldRecords.push({offset, record});
 			return {offset, accepted: false, reason: 'waiting for a snapshot'};
 		}
 
 		return this.decide(offset, record);
 	}
 
-	/** Notes that the records before `start` expired before they were read. */
+	/** Records that the records before `start` expired before they were read. */
 	skipTo(start: number): void {
 		if (start > this.appliedOffset + 1) {
 			this.isMissingHistory = true;
-			this.held = [];
+			this.heldRecords = [];
 		}
 	}
 
-	/** The configuration so far, for a snapshot record. */
+	/** Returns the current configuration, for a snapshot record. */
 	snapshot(): ConfigSnapshot {
 		return {
 			upTo: this.appliedOffset, version: this.version, active: this.active, presets: [...this.presets.values()], drained: [...this.drained],
 		};
 	}
 
-	/** A plain copy for state dumps and status. */
+	/** Returns a plain copy for state dumps and status. */
 	toJson(): Record<string, unknown> {
 		return {
 			version: this.version,
@@ -98,9 +98,9 @@
 		};
 	}
 
-	/** A snapshot changes nothing for a reader that has read all it covers. */
+	/** Applies a snapshot; it changes nothing for a reader that has read all records it covers. */
 	private applySnapshot(offset: number, snapshot: ConfigSnapshot): ConfigOutcome {
-		const firstHeld = this.held.at(0)?.offset ?? offset;
+		const firstHeld = this.heldRecords.at(0)?.offset ?? offset;
 		if (!this.isMissingHistory) {
 			return {offset, accepted: true};
 		}
@@ -120,9 +120,9 @@
 			this.drained.add(backendServer);
 		}
 
-		const later = this.held.filter(entry => entry.offset > snapshot.upTo);
+		const later = this.heldRecords.filter(entry => entry.offset > snapshot.upTo);
 		this.isMissingHistory = false;
-		this.held = [];
+		this.heldRecords = [];
 		for (const entry of later) {
 			this.decide(entry.offset, entry.record);
 		}
@@ -131,7 +131,7 @@
 	}
 
 	private decide(offset: number, record: ConfigRecord): ConfigOutcome {
-		const reason = this.refusal(record);
+		const reason = this.rejectionReason(record);
 		const outcome: ConfigOutcome = reason === undefined ? {offset, accepted: true} : {offset, accepted: false, reason};
 		if (outcome.accepted) {
 			this.accept(record);
@@ -139,14 +139,14 @@
 		}
 
 		this.outcomes.set(record.id, outcome);
-		if (this.outcomes.size > keptOutcomes) {
+		if (this.outcomes.size > maxOutcomes) {
 			this.outcomes.delete(this.outcomes.keys().next().value!);
 		}
 
 		return outcome;
 	}
 
-	private refusal(record: ConfigRecord): string | undefined {
+	private rejectionReason(record: ConfigRecord): string | undefined {
 		if (!knownKinds.has(record.kind)) {
 			return `unknown record kind ${String(record.kind)}`;
 		}
--- a/src/state/errors.ts
+++ b/src/state/errors.ts
@@ -1,7 +1,7 @@
 import {SesametallyError} from '../errors.js';
 
-/** A read or append on the platform log that failed, or a stream that cannot be rebuilt. */
+/** A failed read or append on the platform's log, or a stream whose state cannot be rebuilt. */
 export class StateError extends SesametallyError {}
 
-/** An append whose outcome is unknown: the log may have taken it. */
+/** An append whose outcome is unknown: the log may have stored it. */
 export class UnknownAppendError extends StateError {}
--- a/src/state/lease-table.ts
+++ b/src/state/lease-table.ts
@@ -1,45 +1,45 @@
 /**
- * The controller lease as rebuilt from the `lease` stream. A record counts only if its
- * base is the last record that counted, decided by log order alone. How long a lease
- * lasts is not decided here: its holder stops, and others claim, by their own monotonic
+ * The controller lease, rebuilt from the `lease` stream. A record is accepted only if its
+ * base is the last accepted record, so acceptance depends on log order alone. Expiry is not
+ * decided here: the holder stops acting, and others claim the lease, by their own monotonic
  * clocks (`coordination/lease.ts`).
  */
 import {type LeaseRecord, LeaseRecordKind} from '../protocol/lease-records.js';
 
-/** The lease as of the last record that counted. */
+/** The lease as of the last accepted record. */
 export type Lease = {
 	holder: string;
-	/** Offset of the claim that won it. */
+	/** The fencing token: the offset of the claim that acquired the lease. */
 	token: number;
 };
 
-/** The lease at one point of the log. */
+/** The lease as of the last applied record of the stream. */
 export class LeaseTable {
 	/** Offset of the last record applied; -1 before any. */
 	appliedOffset = -1;
-	/** Offset of the last record that counted; -1 before any. */
+	/** Offset of the last accepted record; -1 before any. */
 	last = -1;
-	/** The lease in force, if one was claimed and not released. */
+	/** The current lease, if one was claimed and not released. */
 	lease: Lease | undefined;
 	/**
-	 * Whether `last` is known to be right. It is not for a reader that started after old
-	 * records expired, until it reads a record that follows one it has read.
+	 * Whether the last accepted record is known with certainty. For a reader that started after old records
+	 * expired it is not, until that reader reads a record whose base it has also read.
 	 */
 	isCertain = true;
-	private start = 0;
-	/** While uncertain: the base of the record taken for the last one that counted. */
+	private firstKeptOffset = 0;
+	/** While `isCertain` is false: the base of the record that is provisionally accepted. */
 	private tentativeBase = -1;
 
-	/** Notes that the records before `start` expired before they were read. */
+	/** Records that the records before `start` expired before they were read. */
 	skipTo(start: number): void {
-		this.start = start;
+		this.firstKeptOffset = start;
 		this.isCertain = false;
 		this.last = -1;
 		this.tentativeBase = -1;
 		this.lease = undefined;
 	}
 
-	/** Takes `last` for right although nothing confirmed it: nobody has written for long. */
+	/** Takes the last accepted record as certain although no later record confirms it; to be called when no record has been written for several lease durations. */
 	trust(): void {
 		this.isCertain = true;
 	}
@@ -47,7 +47,7 @@
 	/**
 	 * Applies a record; offsets at or below the last applied one are ignored.
 	 *
-	 * @returns Whether the record counted.
+	 * @returns Whether the record was accepted.
 	 */
 	apply(offset: number, record: LeaseRecord): boolean {
 		if (offset <= this.appliedOffset) {
@@ -82,7 +82,7 @@
 		return true;
 	}
 
-	/** A plain copy for state dumps. */
+	/** Returns a plain copy for state dumps. */
 	toJson(): Record<string, unknown> {
 		return {
 			appliedOffset: this.appliedOffset, last: this.last, lease: this.lease, isCertain: this.isCertain,
@@ -90,11 +90,11 @@
 	}
 
 	/**
-	 * While uncertain, a record whose base expired is taken for one that counted until a
-	 * later one corrects it: the bases of records that count only rise, so one with a
-	 * base no higher than that of a record already taken did not count.
+	 * Whether a record whose base has expired is provisionally accepted, which a later record
+	 * may correct. Bases of accepted records only rise, so a record whose base is not above
+	 * that of the provisionally accepted record was not accepted.
 	 */
 	private mayFollowExpired(record: LeaseRecord): boolean {
-		return !this.isCertain && record.base < this.start && record.base > this.tentativeBase;
+		return !this.isCertain && record.base < this.firstKeptOffset && record.base > this.tentativeBase;
 	}
 }
--- a/src/state/platform-log.ts
+++ b/src/state/platform-log.ts
@@ -6,20 +6,20 @@
 import {TransportError} from '../transport/errors.js';
 import {StateError, UnknownAppendError} from './errors.js';
 
-/** Time beyond its wait after which a read counts as failed, in milliseconds. */
-const readMarginMs = 3000;
+/** How long after the end of its long-poll wait an unanswered read counts as failed, in milliseconds. */
+const readTimeoutMarginMs = 3000;
 
-/** The answer of a read: kept records, or `expired` when `from` is older than retention. */
+/** The answer to a read; `expired` is set when records at the requested offset are no longer retained. */
 export type ReadResult<T> = ReadAnswer<T> & {expired: boolean};
 
-/** Reads and appends records of the platform log at one base URL. */
+/** Reads and appends records of the platform's log at one base URL. */
 export class PlatformLog {
-	/** Appends made, for the capacity bench. */
+	/** Number of appends sent; the capacity bench reads it. */
 	appends = 0;
 
 	private readonly headers: Record<string, string>;
 
-	/** @param client The name under which this process reads and writes. */
+	/** @param client The name of this process, sent as its user agent. */
 	constructor(
 		private readonly url: string,
 		client: string,
@@ -28,10 +28,10 @@
 	}
 
 	/**
-	 * Appends records as one append.
+	 * Appends a batch of records in one call.
 	 *
-	 * @throws {StateError} When the log refused the append (it did not take effect).
-	 * @throws {UnknownAppendError} When the answer was lost: the append may have taken effect.
+	 * @throws {StateError} When the log refused the append, so that it did not take effect.
+	 * @throws {UnknownAppendError} When no answer arrived, so that the append may have taken effect.
 	 */
 	async append(stream: string, records: unknown[], signal?: AbortSignal): Promise<AppendAnswer> {
 		this.appends++;
@@ -56,7 +56,7 @@
 	}
 
 	/**
-	 * Reads records from an offset, waiting up to `waitMs` for one to arrive.
+	 * Reads records from an offset on, waiting up to `waitMs` milliseconds for one to arrive.
 	 *
 	 * @throws {StateError} When the log cannot be read.
 	 */
@@ -67,7 +67,7 @@
 				method: 'GET',
 				url: `${this.url}/streams/${stream}/records?from=${from}&waitMs=${waitMs}`,
 				headers: this.headers,
-				timeoutMs: waitMs + readMarginMs,
+				timeoutMs: waitMs + readTimeoutMarginMs,
 				signal,
 			});
 		} catch (error) {
--- a/src/state/route-table.ts
+++ b/src/state/route-table.ts
@@ -1,17 +1,17 @@
 /**
- * The configuration in force: which route a host and path select, and which client
- * account an API key belongs to. Versions only go forward.
+ * The current configuration of the serving daemon: which route a host and path select, and
+ * which client account an API key belongs to. An older version never replaces a newer one.
  */
 import {
 	type Account, type Route, type Service, type ServingConfig,
 } from '../protocol/serving.js';
 
-/** The routes of one host, by prefix: a lookup takes as long as the path has segments, however many routes there are. */
+/** The routes of one host, by path prefix. The cost of a lookup depends on the number of path segments, not on the number of routes. */
 class HostRoutes {
 	private readonly byPrefix = new Map<string, Route>();
 	private longestPrefix = 0;
 
-	/** Adds a route; of two with one prefix the first counts. */
+	/** Adds a route; of several routes with the same prefix, the first one is used. */
 	add(route: Route): void {
 		if (!this.byPrefix.has(route.pathPrefix)) {
 			this.byPrefix.set(route.pathPrefix, route);
@@ -19,7 +19,7 @@
 		}
 	}
 
-	/** The route with the longest prefix that begins a path. Prefixes end with a slash, and none longer than the longest is looked for, so that a path of slashes costs little. */
+	/** Returns the route with the longest prefix that matches a path. Prefixes end with a slash; the search begins at the length of the longest prefix, so that a long path of slashes is cheap. */
 	match(path: string): Route | undefined {
 		let slash = path.lastIndexOf('/', this.longestPrefix - 1);
 		while (slash >= 0) {
@@ -28,7 +28,7 @@
 				return route;
 			}
 
-			// A search from before the start would find the slash there again.
+			// A negative position counts as 0 in lastIndexOf(), which would find the first slash again.
 			slash = slash === 0 ? -1 : path.lastIndexOf('/', slash - 1);
 		}
 
@@ -36,7 +36,7 @@
 	}
 }
 
-/** The routes, services and accounts of the newest version seen. */
+/** The routes, services and client accounts of the newest configuration version received. */
 export class RouteTable {
 	private config: ServingConfig | undefined;
 	private readonly routesByHost = new Map<string, HostRoutes>();
@@ -57,9 +57,9 @@
 	}
 
 	/**
-	 * Takes a version into force, unless it is not newer than the one there.
+	 * Applies a configuration if its version is newer than the current one.
 	 *
-	 * @returns Whether it was taken.
+	 * @returns Whether it was applied.
 	 */
 	apply(config: ServingConfig): boolean {
 		if (this.config && config.version <= this.config.version) {
@@ -89,14 +89,14 @@
 		return true;
 	}
 
-	/** The route with the longest prefix that begins the path, among those of the host. */
+	/** Returns the host's route with the longest prefix that matches a path. */
 	match(host: string, path: string): Route | undefined {
 		const query = path.indexOf('?');
 		const plainPath = query === -1 ? path : path.slice(0, query);
 		return this.routesByHost.get(host)?.match(plainPath);
 	}
 
-	/** The account that holds an API key. */
+	/** Returns the client account that an API key belongs to. */
 	accountOf(apiKey: string): Account | undefined {
 		return this.accountsByKey.get(apiKey);
 	}
@@ -105,7 +105,7 @@
 		return this.servicesByName.get(name);
 	}
 
-	/** What a state dump shows. */
+	/** Returns the version and the names of routes and accounts, for state dumps. */
 	toJson(): unknown {
 		return {version: this.version, routes: this.config?.routes.map(route => route.name), accounts: this.config?.accounts.map(account => account.name)};
 	}
