--- a/src/protocol/__tests__/example-presets.test.ts
+++ b/src/protocol/__tests__/example-presets.test.ts
@@ -9,8 +9,8 @@
 	return readdirSync(dir).map(file => ({deployment, file, text: readFileSync(path.join(dir, file), 'utf8')}));
 });
 
-describe('the presets of the examples', () => {
-	it.each(presets)('$deployment $file passes the schema and is named after its file', ({file, text}) => {
+describe('the example presets', () => {
+	it.each(presets)('$deployment $file matches the schema and is named after its file', ({file, text}) => {
 		expect(checkPreset(JSON.parse(text)).name).toBe(path.basename(file, '.json'));
 	});
 });
--- a/src/protocol/__tests__/settings.test.ts
+++ b/src/protocol/__tests__/settings.test.ts
@@ -37,12 +37,12 @@
 		{
 			name: 'not JSON', value: '{', setting: '(file)', detail: 'is not valid JSON',
 		},
-	])('refuses a bad file, naming the setting: $name', ({name, value, setting, detail}) => {
+	])('rejects an invalid file with an error that names the setting: $name', ({name, value, setting, detail}) => {
 		const file = writeSettings(`${name}.json`, value);
 		expect(() => loadSettings(file, standinValidators.engine)).toThrow(new SettingsError(file, setting, detail));
 	});
 
-	it('fills defaults', () => {
+	it('fills in defaults', () => {
 		const settings = loadSettings<{tpotMs: number; checksFencing: boolean}>(writeSettings('good.json', goodEngine), standinValidators.engine);
 		expect(settings).toMatchObject({tpotMs: 10, checksFencing: true});
 	});
@@ -50,7 +50,7 @@
 	it.each([
 		{role: ['gateway'], file: 'missing.json', message: 'setting (file) cannot be read'},
 		{role: ['standin', 'engine'], file: 'bad-port.json', message: 'setting /listen/port must be <= 65535'},
-	])('exits non-zero before any port opens: $role', ({role, file, message}) => {
+	])('makes a process exit with status 2 and an error that names the setting: $role', ({role, file, message}) => {
 		const settingsFile = path.join(dir, file);
 		if (file === 'bad-port.json') {
 			writeSettings(file, {...goodEngine, listen: {host: '127.0.0.1', port: 70_000}});
--- a/src/protocol/config-records.ts
+++ b/src/protocol/config-records.ts
@@ -1,37 +1,38 @@
 /**
- * The records of the `config` stream on the platform log: presets, which preset is
- * in force, and drains. Each record names the config version it was based on; the
- * first record in log order for a base wins, so every reader decides races alike.
+ * The records of the `config` stream of the platform's log: presets, the activation of
+ * a preset, and drains. Each record names the configuration version that it is based on.
+ * Of several records with the same base, only the first in log order is accepted, so that
+ * every reader resolves concurrent changes alike.
  */
 import {compileCheck} from './schema.js';
 
 /** The name of the stream that carries configuration. */
 export const configStream = 'config';
 
-/** The limits of one client account over the whole fleet. */
+/** The limits of one client account, over all gateways together. */
 export type AccountLimit = {
-	/** Sustained admissions per second. */
+	/** Sustained rate of admitted requests. */
 	requestsPerSecond: number;
-	/** Admissions allowed in a burst above the sustained rate. */
+	/** Number of requests that may be admitted in a burst above the sustained rate. */
 	burst: number;
-	/** Requests of the account in flight at once. */
+	/** Maximum number of requests of the account in flight. */
 	maxConcurrent: number;
 };
 
-/** How the controller keeps one model's fleet. */
+/** The size and kind of the fleet that the controller maintains for one model. */
 export type ModelFleet = {
-	/** Replicas kept however little there is to do. */
+	/** Minimum number of replicas, whatever the load. */
 	min: number;
-	/** Replicas never exceeded. */
+	/** Maximum number of replicas. */
 	max: number;
 	/** Requests in flight per replica at which the latency target is still met. */
 	inFlightPerReplica: number;
-	/** Share, from 0 to 1, of the needed replicas that the loss of one failure domain must leave. */
+	/** Share of the needed replicas, from 0 to 1, that must remain after the loss of one failure domain. */
 	survivingShare: number;
 	machineClass: string;
 };
 
-/** A preset: one of the operators' named configurations, such as ordinary days or peaks. */
+/** A preset: a named configuration of the operators, such as one for ordinary days or one for peaks. */
 export type Preset = {
 	name: string;
 	limits: {
@@ -39,16 +40,16 @@
 		accounts?: Record<string, AccountLimit>;
 	};
 	routing?: {
-		/** How much more loaded than the least loaded a prefix-affine backend server may be. */
+		/** How much more load than the least loaded backend server one with a matching prompt prefix may have and still be chosen. */
 		affinitySlack?: number;
 	};
-	/** The fleet of each model the controller keeps; a model not named is left alone. */
+	/** The fleet of each model that the controller scales; other models are not scaled. */
 	fleet?: Record<string, ModelFleet>;
 };
 
-/** The configuration as of one record of the stream. */
+/** The configuration as of one record of the config stream. */
 export type ConfigSnapshot = {
-	/** Offset of the last record it covers. */
+	/** Offset of the last record that the snapshot covers. */
 	upTo: number;
 	version: number;
 	active?: string;
@@ -62,27 +63,27 @@
 	Activate = 'activate',
 	Drain = 'drain',
 	Undrain = 'undrain',
-	/** The configuration so far, for gateways that start after older records expired. */
+	/** The whole configuration, for gateways that start after older records expired. */
 	Snapshot = 'snapshot',
 }
 
 /** A record on the config stream. */
 export type ConfigRecord = {
 	kind: ConfigRecordKind;
-	/** A unique id, so that a publisher can find its record after a lost answer. */
+	/** A unique id, by which a publisher finds its record if the answer to its append was lost. */
 	id: string;
 	team: string;
-	/** The config version (offset of the last accepted record, -1 for none) this change was based on. */
+	/** The configuration version that the change is based on: the offset of the last accepted record, or -1 for none. */
 	base: number;
 	preset?: Preset;
-	/** For `activate`: the preset to put in force. */
+	/** For `activate`: the name of the preset to activate. */
 	name?: string;
-	/** For `drain` and `undrain`: the backend server id. */
+	/** For `drain` and `undrain`: the id of the backend server. */
 	backendServer?: string;
 	snapshot?: ConfigSnapshot;
 };
 
-const fleetSchema = {
+const modelFleetSchema = {
 	type: 'object',
 	properties: {
 		min: {type: 'integer', minimum: 0},
@@ -95,7 +96,7 @@
 	additionalProperties: false,
 };
 
-const limitSchema = {
+const accountLimitSchema = {
 	type: 'object',
 	properties: {
 		requestsPerSecond: {type: 'number', exclusiveMinimum: 0},
@@ -106,7 +107,7 @@
 	additionalProperties: false,
 };
 
-/** Checks a preset as operators write it. */
+/** Checks a preset that an operator submits. */
 export const checkPreset = compileCheck<Preset>({
 	type: 'object',
 	properties: {
@@ -114,8 +115,8 @@
 		limits: {
 			type: 'object',
 			properties: {
-				default: limitSchema,
-				accounts: {type: 'object', additionalProperties: limitSchema},
+				default: accountLimitSchema,
+				accounts: {type: 'object', additionalProperties: accountLimitSchema},
 			},
 			required: ['default'],
 			additionalProperties: false,
@@ -125,7 +126,7 @@
 			properties: {affinitySlack: {type: 'number', minimum: 0}},
 			additionalProperties: false,
 		},
-		fleet: {type: 'object', additionalProperties: fleetSchema},
+		fleet: {type: 'object', additionalProperties: modelFleetSchema},
 	},
 	required: ['name', 'limits'],
 	additionalProperties: false,
--- a/src/protocol/engine-api.ts
+++ b/src/protocol/engine-api.ts
@@ -1,35 +1,35 @@
 /**
- * The HTTP shapes of a model engine, as its stand-in serves them. Completions follow
- * the OpenAI completions API; the extra fields are those engines offer for serving
- * systems (request ids, priorities, resume, fencing tokens).
+ * The HTTP messages of a model engine, as its stand-in serves them. Completions follow
+ * the OpenAI completions API, with the additional fields that engines offer to serving
+ * systems (request ids, priorities, resumption, fencing tokens).
  *
  * - `POST /v1/completions` with {@link EngineCompletionRequest}: with `stream: true`,
  *   server-sent events of {@link EngineChunk} ending in `data: [DONE]`; otherwise one
  *   {@link EngineCompletion}.
- * - `GET /load`: {@link EngineLoad}, refreshed with a lag.
+ * - `GET /load`: {@link EngineLoad}, which is updated with a delay.
  * - `POST /v1/requests/{id}/cancel`: {@link CancelAnswer}.
  * - `POST /v1/requests/{id}/export`: {@link KvSnapshot}; the request's stream ends and its
- *   KV cache is held for an import; 404 when the request is not there.
+ *   KV cache is held for an import; 404 when the engine has no such request.
  * - `POST /v1/kv/import` with {@link KvImport}: the engine pulls a held KV cache from
  *   another engine (`GET /v1/kv/{id}`); a completion with that request id then continues
  *   without prefill.
- * - `POST /v1/orders` with {@link EngineOrder}: 200, or 409 when the fencing token is old.
+ * - `POST /v1/orders` with {@link EngineOrder}: 200, or 409 when the fencing token is outdated.
  *
- * A 503 whose error code is `not_run` says that the engine did not begin the request.
+ * A 503 with the error code `not_run` means that the engine did not begin the request.
  */
 
 /** A completion request to an engine. */
 export type EngineCompletionRequest = {
 	model: string;
 	prompt: string;
-	/** The number of tokens to generate, counted from token 0 even when resuming. */
+	/** The length of the whole answer in tokens; a resumed request counts the tokens before `resume_from` too. */
 	max_tokens: number;
 	stream?: boolean;
-	/** The caller's id for the request, used by cancel. */
+	/** The gateway's id of the request; cancel, export and import refer to it. */
 	request_id?: string;
-	/** Lower numbers are served first; 0 is the default. */
+	/** Requests with lower numbers are served first; 0 is the default. */
 	priority?: number;
-	/** Generate from this token index on: the tokens before it were already delivered. */
+	/** Index of the first token to generate; the tokens before it were already delivered. */
 	resume_from?: number;
 };
 
@@ -42,27 +42,27 @@
 	choices: Array<{index: 0; text: string; finish_reason: 'length' | 'stop' | null}>;
 	/** Index of this token in the whole answer. */
 	seq: number;
-	/** On the first chunk of a run: tokens the engine had to compute before it. */
+	/** On the first chunk of a run: the number of tokens that the engine had to prefill before it. */
 	prefilled?: number;
 };
 
-/** The error code with which an engine says that it did not begin a request. */
+/** The error code of an engine that did not begin a request. */
 export const notRunCode = 'not_run';
 
-/** A KV cache held by an engine: whose it is and how many tokens it covers. */
+/** A KV cache that an engine holds: the request that it belongs to and the number of tokens that it covers. */
 export type KvSnapshot = {
 	requestId: string;
 	promptHash: string;
 	tokens: number;
 };
 
-/** An order to pull a KV cache from the engine at `source`. */
+/** A request to pull a KV cache from the engine at the URL `source`. */
 export type KvImport = {
 	requestId: string;
 	source: string;
 };
 
-/** A whole completion. */
+/** A completion that is not streamed. */
 export type EngineCompletion = {
 	id: string;
 	object: 'text_completion';
@@ -71,19 +71,19 @@
 	usage: {prompt_tokens: number; completion_tokens: number; total_tokens: number; cached_tokens: number};
 };
 
-/** What an engine is doing for the fleet. */
+/** Whether an engine accepts new work. */
 export enum EngineRole {
-	/** Takes work for its model. */
+	/** Accepts requests for its model. */
 	Serving = 'serving',
-	/** Finishes what it has and takes no new work. */
+	/** Finishes its running requests and accepts no new ones. */
 	Draining = 'draining',
 }
 
-/** The load an engine reports, measured at `measuredAtMs` (its own clock). */
+/** The load that an engine reports, measured at `measuredAtMs` of its own clock. */
 export type EngineLoad = {
-	/** The id of the VM it runs on; a VM started later at the same address has another. */
+	/** The id of the VM on which it runs; a VM that is started later at the same address has another id. */
 	id: string;
-	/** The loaded model; absent while none is. */
+	/** The loaded model; absent while none is loaded. */
 	model?: string;
 	role: EngineRole;
 	running: number;
@@ -94,21 +94,22 @@
 	measuredAtMs: number;
 };
 
-/** The answer to a cancel: whether the request stopped before it finished. */
+/** The answer to a cancellation. */
 export type CancelAnswer = {
+	/** Whether the request was stopped before it finished. */
 	cancelled: boolean;
-	/** Whether the engine had begun to work on it; false confirms that it never ran. */
+	/** Whether the engine had begun to run the request; false confirms that it never ran. */
 	started: boolean;
 	tokensSent: number;
 };
 
-/** The kinds of order the controller gives an engine. */
+/** The kinds of order that the controller sends to an engine. */
 export enum OrderKind {
 	LoadModel = 'load-model',
 	ChangeRole = 'change-role',
 }
 
-/** An order to an engine, carrying the controller's fencing token. */
+/** An order to an engine, with the controller's fencing token. */
 export type EngineOrder = {
 	kind: OrderKind;
 	fencingToken: number;
--- a/src/protocol/gateway-settings.ts
+++ b/src/protocol/gateway-settings.ts
@@ -1,6 +1,4 @@
-/**
- * The settings of `sesametally gateway` and their schema.
- */
+/** The settings of `sesametally gateway` and their schema. */
 import {compileCheck} from './schema.js';
 import {
 	type Listen, idSchema, listenSchema, urlSchema,
@@ -12,7 +10,7 @@
 	Viewer = 'viewer',
 }
 
-/** A team that may use the administration API with its bearer token. */
+/** A team that may use the administration API, and its bearer token. */
 export type Team = {
 	name: string;
 	token: string;
@@ -37,25 +35,25 @@
 	checksFencing: boolean;
 };
 
-/** A client account and the API keys that map to it. */
+/** A client account and its API keys. */
 export type ClientAccount = {
 	name: string;
 	apiKeys: string[];
 };
 
-/** Another gateway, reached over `ws` at its admin port. */
+/** Another gateway, whose `url` is the WebSocket address of its admin port. */
 export type Peer = {
 	id: string;
 	url: string;
 };
 
-/** Settings of the controller role. */
+/** The settings of the controller. */
 export type ControllerSettings = {
-	/** How long a lease lasts after its last renewal, by the platform log's clock. */
+	/** How long a lease lasts after its last renewal, in milliseconds of each gateway's monotonic clock. */
 	leaseMs: number;
-	/** Interval between passes over the fleet. */
+	/** Interval between two checks of the fleet, in milliseconds. */
 	passMs: number;
-	/** How long an engine may be silent before its VM is stopped and replaced. */
+	/** How long an engine may be silent before its VM is stopped and replaced, in milliseconds. */
 	silentMs: number;
 };
 
@@ -65,24 +63,26 @@
 	failureDomain: string;
 	listen: Listen;
 	admin: Listen & {teams: Team[]};
-	/** The platform log, and how long it keeps records. */
+	/** The platform's log, and how long it retains records. */
 	platformLog: {url: string; retentionMs: number};
-	/** The platform's cloud API: reclaim notices, and VM orders from the controller. */
+	/** The platform's cloud API, which announces reclaims and takes the controller's orders of VMs. */
 	cloud?: {url: string; noticePollMs: number};
-	/** The platform's lagging VM list. */
+	/** The platform's VM list, which is some seconds out of date. */
 	vmList?: {url: string; pollMs: number};
-	/** The pace of the controller role, should this gateway hold it. */
+	/** The settings of the controller, which runs on the gateway that holds the lease. */
 	controller: ControllerSettings;
 	peers: Peer[];
 	backendServers: BackendServer[];
 	clientAccounts: ClientAccount[];
+	/** Interval between two heartbeats to a peer. */
 	heartbeatMs: number;
+	/** Interval between two queries of an engine's load. */
 	loadPollMs: number;
-	/** Grace for in-flight streams on SIGTERM before the gateway exits anyway. */
+	/** How long in-flight streams may continue after SIGTERM before the gateway exits anyway. */
 	drainMs: number;
-	/** How long `/ready` answers 503 on SIGTERM before the port closes. */
+	/** How long `/ready` answers 503 after SIGTERM before the port closes. */
 	notReadyMs: number;
-	/** Time intents of non-idempotent calls wait to share one journal append. */
+	/** How long intents of non-idempotent calls wait so that several share one append to the journal. */
 	journalFlushMs: number;
 };
 
--- a/src/protocol/journal-records.ts
+++ b/src/protocol/journal-records.ts
@@ -1,8 +1,8 @@
 /**
- * The records of the `journal` stream on the platform log. Before a non-idempotent call
- * is dispatched, its intent is written here; for one client account and idempotency
- * key, the first intent in log order is the only one that may be dispatched. A release
- * withdraws an intent whose call was certainly never sent, so that the key is free again.
+ * The records of the `journal` stream of the platform's log. Before a gateway dispatches a
+ * non-idempotent call, it appends an intent. Of several intents with the same client account
+ * and idempotency key, only the first in log order may be dispatched. A release withdraws an
+ * intent whose call was certainly never sent, so that the key can be used again.
  */
 
 /** The name of the stream that carries intents. */
@@ -17,17 +17,17 @@
 /** An intent to dispatch one non-idempotent call. */
 export type Intent = {
 	kind: JournalRecordKind.Intent;
-	/** A unique id of this attempt. */
+	/** A unique id of the intent. */
 	id: string;
 	account: string;
 	/** The caller's idempotency key. */
 	key: string;
 	service: string;
-	/** The gateway that wrote it, the only one that may dispatch it. */
+	/** The gateway that appended the intent; only this gateway may dispatch the call. */
 	gateway: string;
 };
 
-/** The withdrawal of an intent by its own gateway. */
+/** The withdrawal of an intent by the gateway that appended it. */
 export type Release = {
 	kind: JournalRecordKind.Release;
 	/** The id of the intent. */
--- a/src/protocol/lease-records.ts
+++ b/src/protocol/lease-records.ts
@@ -1,7 +1,7 @@
 /**
- * The records of the `lease` stream on the platform log. Each names the record it
- * follows; it counts only if that is the last one that counted before it, so every
- * reader decides alike from log order, without a clock.
+ * The records of the `lease` stream of the platform's log. Each record names its base, the
+ * record that it follows, and is accepted only if its base is the last accepted record
+ * before it. Every reader thus decides alike from the log's order, without a clock.
  */
 
 /** The name of the stream that carries the controller lease. */
@@ -9,21 +9,21 @@
 
 /** The kinds of record on the lease stream. */
 export enum LeaseRecordKind {
-	/** Takes the lease; its offset becomes the fencing token. */
+	/** Acquires the lease; the record's offset becomes the fencing token. */
 	Claim = 'claim',
-	/** Keeps the lease. */
+	/** Extends the lease. */
 	Renew = 'renew',
-	/** Gives the lease up, so that another may claim at once. */
+	/** Gives up the lease, so that another gateway may claim it at once. */
 	Release = 'release',
 }
 
 /** A record on the lease stream. */
 export type LeaseRecord = {
 	kind: LeaseRecordKind;
-	/** A unique id, so that its writer knows it again. */
+	/** A unique id, by which the writer recognises its own record when it reads it back. */
 	id: string;
 	holder: string;
-	/** Offset of the lease record it follows; -1 for none. */
+	/** Offset of the lease record that this one follows; -1 for none. */
 	base: number;
 	/** For `renew` and `release`: the fencing token of the lease. */
 	token?: number;
--- a/src/protocol/openai.ts
+++ b/src/protocol/openai.ts
@@ -1,13 +1,13 @@
 /**
- * The OpenAI API shapes the gateway serves to callers, so that any OpenAI client
- * works unchanged: chat completions, completions, streamed chunks, error bodies.
+ * The messages of the OpenAI API that the gateway serves, so that OpenAI clients work
+ * unchanged: chat completions, completions, streamed chunks and error bodies.
  */
 import {compileCheck} from './schema.js';
 
 /** A chat message. */
 export type ChatMessage = {role: string; content: string};
 
-/** `POST /v1/chat/completions`. */
+/** The body of `POST /v1/chat/completions`. */
 export type ChatCompletionRequest = {
 	model: string;
 	messages: ChatMessage[];
@@ -15,7 +15,7 @@
 	stream?: boolean;
 };
 
-/** `POST /v1/completions`. */
+/** The body of `POST /v1/completions`. */
 export type CompletionRequest = {
 	model: string;
 	prompt: string;
@@ -23,11 +23,11 @@
 	stream?: boolean;
 };
 
-/** How the gateway tells callers what became of a request that failed, in header `x-sesametally-outcome`. */
+/** The outcome of a failed request, which the gateway states in the header `x-sesametally-outcome`. */
 export enum Outcome {
-	/** Refused before dispatch: it did not run. */
+	/** The request was refused before dispatch and did not run. */
 	NotRun = 'not-run',
-	/** It may have run: do not assume either way. */
+	/** The request may or may not have run. */
 	Unknown = 'unknown',
 }
 
@@ -49,7 +49,7 @@
 /** The default number of tokens to generate when a request names none. */
 export const defaultMaxTokens = 64;
 
-const messageSchema = {
+const chatMessageSchema = {
 	type: 'object',
 	properties: {role: {type: 'string'}, content: {type: 'string'}},
 	required: ['role', 'content'],
@@ -60,7 +60,7 @@
 	type: 'object',
 	properties: {
 		model: {type: 'string', minLength: 1},
-		messages: {type: 'array', items: messageSchema, minItems: 1},
+		messages: {type: 'array', items: chatMessageSchema, minItems: 1},
 		max_tokens: {type: 'integer', minimum: 1, maximum: 32_768},
 		stream: {type: 'boolean'},
 	},
@@ -79,7 +79,7 @@
 	required: ['model', 'prompt'],
 }, 'completion request');
 
-/** Renders chat messages as the prompt given to an engine. */
+/** Renders chat messages as a prompt for an engine. */
 export function chatPrompt(messages: ChatMessage[]): string {
 	return messages.map(message => `${message.role}: ${message.content}`).join('\n');
 }
--- a/src/protocol/peer-messages.ts
+++ b/src/protocol/peer-messages.ts
@@ -1,6 +1,4 @@
-/**
- * Messages between gateways over `ws`, encoded with `msgpackr`.
- */
+/** The messages between gateways, which are sent over WebSockets and encoded as MessagePack. */
 import {Packr} from 'msgpackr';
 
 /** The kinds of peer message. */
@@ -8,12 +6,12 @@
 	Heartbeat = 'heartbeat',
 }
 
-/** A gateway's heartbeat: who it is and how far it has applied the config stream. */
+/** A gateway's heartbeat: its identity, its progress in the config stream and its load. */
 export type Heartbeat = {
 	kind: PeerMessageKind.Heartbeat;
 	id: string;
 	failureDomain: string;
-	/** Offset of the last config record it applied. */
+	/** Offset of the last record of the config stream that it has applied. */
 	appliedOffset: number;
 	configVersion: number;
 	inFlight: number;
--- a/src/protocol/platform.ts
+++ b/src/protocol/platform.ts
@@ -1,69 +1,76 @@
 /**
- * What the serving daemon needs of the platform it runs on. An adapter implements these
- * interfaces in the platform's names and calls; it decides nothing.
+ * The interfaces through which the serving daemon uses the platform that it runs on. An
+ * adapter implements them with the platform's own names and calls. It only translates; all
+ * decisions are made by the daemon.
  */
 import {
-	type AnswerMarks, type Backend, type CallerRequest, type Dispatch, type ServingConfig,
+	type AnswerMarks, type Backend, type CallerRequest, type AttemptHeaders, type ServingConfig,
 } from './serving.js';
 import {type Listen} from './settings.js';
 
-/** The settings of one serving daemon. */
+/** The settings of a serving daemon. */
 export type FrontSettings = {
 	name: string;
 	failureDomain: string;
-	/** Whether the whole system starts for the first time. */
+	/** Whether the whole deployment is starting for the first time. */
 	isFirstStart: boolean;
 	host: string;
-	/** Where callers connect, and where the balancer asks whether the daemon is ready. */
+	/** The address at which callers connect. */
 	callers: Listen;
+	/** The address at which the load balancer queries the daemon's readiness. */
 	readiness: Listen;
-	/** Port for datagrams between daemons. */
+	/** The port for datagrams between daemons. */
 	peerPort: number;
 	metricsPort: number;
-	/** The platform's own endpoints. */
+	/** The URL of the platform's store. */
 	storeUrl: string;
+	/** The URL of the platform's cloud API. */
 	cloudUrl: string;
-	/** What the operators hold the system to; times in milliseconds. Changed in place when the settings change, so it is read at each use. */
+	/** The bounds that the operators set. The object is changed in place when the settings change, so its fields must be read at each use. */
 	bounds: ServiceBounds;
 };
 
-/** Bounds that the operators set for the deployment. */
+/** The bounds that the operators set for the deployment; times are in milliseconds. */
 export type ServiceBounds = {
-	/** Within this, an accepted configuration is in force on every daemon. */
+	/** Time within which every daemon applies an accepted configuration. */
 	configApplyMs: number;
-	/** Within this, a leaving backend server gets no new work. */
+	/** Time within which a leaving backend server no longer gets new work. */
 	drainMs: number;
-	/** A stopped process is killed after this. */
+	/** Time after which a process that was told to stop is killed. */
 	graceMs: number;
-	/** A revoked API key stops working within this, on every daemon. */
+	/** Time within which every daemon rejects a revoked API key. */
 	revokeMs: number;
-	/** Retries allowed for each request, plus `retrySlack` in each window, over all daemons. */
+	/** The retry budget of all daemons together: the retries allowed per request in a window, before `retrySlack` is added. */
 	retryRatio: number;
+	/** The window of the retry budget. */
 	retryWindowMs: number;
+	/** The number of retries that the retry budget allows in a window in addition to `retryRatio`. */
 	retrySlack: number;
-	/** Limits of accounts hold for any span of this length. */
+	/** The limits of client accounts must hold in every time span of this length. */
 	quotaWindowMs: number;
-	/** Share of its limit, and cost units, by which an account may pass it in a window. */
+	/** The share of its limit by which an account may exceed the limit in a window. */
 	quotaTolerance: number;
+	/** The cost units by which an account may exceed its limit in a window, in addition to `quotaTolerance`. */
 	quotaSlack: number;
-	/** Nobody else may act within this after a holder of a duty acted. */
+	/** Time after an action of a duty holder during which no other daemon may act as duty holder. */
 	leaseMs: number;
+	/** The window that one usage report covers. */
 	usageWindowMs: number;
 };
 
-/** A record of a topic; a record without a value says that its key was dropped. */
+/** A record of a topic; a record without a value deletes its key. */
 export type KeyedRecord = {key: string; value: Uint8Array | undefined; offset: number};
 
-/** Records that were read, the offset to go on from, and where the topic ended. */
+/** Records that were read, the offset to continue from (`next`), and the end of the topic at the time of the read (`end`). */
 export type RecordBatch = {records: KeyedRecord[]; next: number; end: number};
 
-/** What one read may take. */
+/** The limits of one read. */
 export type ReadLimits = {
-	/** How long it waits for records, in milliseconds. */
+	/** How long the store may wait for records (long polling), in milliseconds. */
 	waitMs: number;
-	/** Time without a byte of the answer beyond the wait after which it fails, in milliseconds. */
+	/** How long after `waitMs` the read may go without receiving a byte of the answer before it fails, in milliseconds. */
 	answerMs: number;
-	/** Size of records beyond which no further one is added, in bytes. */
+	/** Total size of the records, in bytes, from which on no further record is added to the answer. */
 	mostBytes: number;
 };
 
@@ -73,119 +80,128 @@
 	Config = 'config',
 	/** The platform's list of backend servers. */
 	Backends = 'backends',
-	/** The daemons' own addresses. */
+	/** The addresses of the daemons. */
 	Members = 'members',
-	/** Who holds the singleton duties, and the usage reports decided on. */
+	/** The holder of the singleton duties, and the usage reports that it has decided on. */
 	Duties = 'duties',
 }
 
-/** How an append ended. */
+/** The result of an append. */
 export type AppendResult
 	= | {kind: 'appended'; offset: number}
-	/** The topic does not end at the offset the append named. */
+	/** The topic did not end at the offset that the append expected. */
 		| {kind: 'conflict'; end: number};
 
 /** The platform's store: an append-only log with topics. */
 export type Store = {
 	/**
-	 * The newest record of each key.
+	 * Reads the newest record of each key.
 	 *
-	 * @param answerMs Time without a byte of the answer after which it fails, in milliseconds.
-	 * @throws {StateError} When the store does not answer with them.
+	 * @param answerMs How long the read may go without receiving a byte of the answer before it fails, in milliseconds.
+	 * @throws {StateError} When the store cannot be read.
 	 */
 	newest(topic: Topic, answerMs: number, signal: AbortSignal): Promise<RecordBatch>;
 	/**
-	 * Records from an offset on, as soon as there are any, or none after the wait. What is
-	 * beyond the size limit is left to the next read, or the first record is: `end` tells.
+	 * Reads records from an offset on, as soon as there are any; the batch is empty if none
+	 * arrive during the wait. Records beyond the size limit, which may include the first one,
+	 * are left to the next read: `next` is then below `end`.
 	 *
-	 * @returns Undefined when records at the offset are no longer kept.
-	 * @throws {StateError} When the store does not answer with them.
+	 * @returns The batch, or undefined when records at the offset are no longer retained.
+	 * @throws {StateError} When the store cannot be read.
 	 */
 	read(topic: Topic, from: number, limits: ReadLimits, signal: AbortSignal): Promise<RecordBatch | undefined>;
 	/**
-	 * Appends one record; with `at`, only if the topic ends at that offset.
+	 * Appends one record; with `expectedEnd`, only if the topic ends at that offset.
 	 *
-	 * @throws {StateError} When nothing was done.
-	 * @throws {UnknownAppendError} When the outcome is unknown.
+	 * @throws {StateError} When the record was not appended.
+	 * @throws {UnknownAppendError} When it is unknown whether the record was appended.
 	 */
-	append(topic: Topic, record: {key: string; value: Uint8Array}, at: number | undefined, signal: AbortSignal): Promise<AppendResult>;
+	append(topic: Topic, record: {key: string; value: Uint8Array}, expectedEnd: number | undefined, signal: AbortSignal): Promise<AppendResult>;
 };
 
-/** How the platform took a call that belongs to a singleton duty. */
+/** The platform's answer to a call that only the duty holder may make. */
 export enum DutyResult {
 	Accepted = 'accepted',
-	/** A higher fencing token was seen, or what was ordered is not to be had. */
+	/** The platform has seen a higher fencing token, or cannot supply what was ordered. */
 	Refused = 'refused',
-	/** Too many calls, or the platform is out of order: nothing was done. */
+	/** There were too many calls, or the platform is unavailable: the call had no effect. */
 	Busy = 'busy',
-	/** No answer: it may still be carried out. */
+	/** There was no answer: the call may still take effect. */
 	Unknown = 'unknown',
 }
 
-/** The holder of the duties and its fencing token. */
+/** The holder of the singleton duties and its fencing token. */
 export type DutyHolder = {name: string; token: number};
 
 /** How many VMs of one kind a service should have in a failure domain. */
 export type PoolOrder = {service: string; failureDomain: string; isReclaimable: boolean; count: number};
 
-/** The platform's calls that one daemon at a time may make. */
+/** The platform's calls that only one daemon at a time, the duty holder, may make. */
 export type Cloud = {
-	/** Reports the requests of each account that began to run in a window. */
+	/** Reports how many requests of each account began to run in a window. */
 	reportUsage(holder: DutyHolder, window: number, counts: Record<string, number>, signal: AbortSignal): Promise<DutyResult>;
-	/** Orders the number of VMs of one kind. */
+	/** Sets the number of VMs of one kind that a service should have in a failure domain. */
 	orderPool(holder: DutyHolder, order: PoolOrder, signal: AbortSignal): Promise<DutyResult>;
 };
 
-/** Names and formats of the callers' and backend servers' headers. */
+/** Reads and writes the headers of callers and backend servers in the platform's format. */
 export type Dialect = {
-	/** Path at which the balancer asks for readiness. */
+	/** The path at which the load balancer queries readiness. */
 	readonly readinessPath: string;
-	/** Reads a caller's request; undefined when its own headers contradict each other. */
+	/** Reads a caller's request; returns undefined when a header that may occur only once is repeated. */
 	readRequest(method: string, path: string, rawHeaders: string[]): CallerRequest | undefined;
-	/** The headers of a request for one backend server, as name and value by turns. */
-	backendHeaders(request: CallerRequest, dispatch: Dispatch): string[];
+	/** Returns the headers of an attempt at one backend server, as alternating names and values. */
+	backendHeaders(request: CallerRequest, dispatch: AttemptHeaders): string[];
 	readAnswer(headers: NodeJS.Dict<string | string[]>): AnswerMarks;
 };
 
-/** A copy of a run's KV cache at another engine. */
+/** A run whose KV cache was copied to another engine. */
 export type MovedRun = {
-	/** Where to continue, in the form that {@link Dispatch.kvSource} takes. */
+	/** The location of the KV cache, in the form of {@link AttemptHeaders.kvSource}. */
 	kvSource: string;
 };
 
-/** How an engine took an order to copy or move a run. */
+/** The result of an order to copy or move a run. */
 export enum MoveResult {
 	Done = 'done',
-	/** It has no such run, or the target has no room or cannot be reached. */
+	/** The engine has no such run, or the target has no room or is unreachable. */
 	Refused = 'refused',
-	/** No answer: it may have been carried out. */
+	/** There was no answer: the order may have been carried out. */
 	Unanswered = 'unanswered',
 }
 
-/** The answer to an order to copy or move a run; `run` is set when it is done. */
+/** The answer to an order to copy or move a run; `run` is set if the result is {@link MoveResult.Done}. */
 export type MoveAnswer = {result: MoveResult; run?: MovedRun};
 
-/** Orders to engines. */
+/** Sends orders to model engines. */
 export type Engines = {
-	/** Copies a running request's KV cache to another engine, which keeps room for it; the run goes on. */
+	/** Copies the KV cache of a running request to another engine, which reserves room for the run; the run continues. */
 	copy(requestId: string, source: Backend, target: Backend, signal: AbortSignal): Promise<MoveAnswer>;
-	/** Stops a run and copies what is new of its KV cache; it is stopped also where the target then refuses. */
+	/** Stops a run and copies the part of its KV cache that was not yet copied; the run is stopped even if the target then refuses. */
 	move(requestId: string, source: Backend, target: Backend, signal: AbortSignal): Promise<MoveAnswer>;
-	/** Frees what a copy holds at both engines. */
+	/** Releases what a copy occupies on both engines. */
 	release(run: MovedRun, source: Backend, signal: AbortSignal): Promise<void>;
 };
 
-/** Decoders of the operators' and the platform's records. */
+/** Decodes the records of the operators and the platform. */
 export type Records = {
-	/** @throws {ProtocolError} When the record is not a configuration. */
+	/**
+	 * Decodes a configuration.
+	 *
+	 * @throws {ProtocolError} When the record is not a valid configuration.
+	 */
 	readConfig(value: Uint8Array): ServingConfig;
-	/** @throws {ProtocolError} When the record is not a whole entry of a backend server. */
+	/**
+	 * Decodes the entry of a backend server.
+	 *
+	 * @throws {ProtocolError} When the record is not a complete entry.
+	 */
 	readBackend(name: string, value: Uint8Array): Backend;
-	/** Whether a record of {@link Topic.Config} holds the configuration. */
+	/** Returns whether the record with this key in {@link Topic.Config} holds the configuration. */
 	isConfigKey(key: string): boolean;
 };
 
-/** A platform, as the serving daemon sees it. */
+/** A platform, with everything that the serving daemon uses of it. */
 export type Platform = {
 	settings: FrontSettings;
 	store: Store;
@@ -193,6 +209,10 @@
 	dialect: Dialect;
 	engines: Engines;
 	records: Records;
-	/** @throws {SettingsError} When the settings are bad. */
+	/**
+	 * Reads the settings again.
+	 *
+	 * @throws {SettingsError} When the settings are missing or invalid.
+	 */
 	readSettings(): FrontSettings;
 };
--- a/src/protocol/schema-error.ts
+++ b/src/protocol/schema-error.ts
@@ -1,33 +1,33 @@
-/** What a failed schema check says. Apart from `schema.ts`, so that a check that was compiled ahead of time needs no compiler. */
+/** Describes failed schema checks. Separate from `schema.ts`, so that validators compiled ahead of time do not load the schema compiler. */
 import {type ErrorObject, type ValidateFunction} from 'ajv';
 import {ProtocolError} from './errors.js';
 
-/** Formats the first schema error as `/path/to/setting: message`. */
+/** Returns the JSON pointer of the invalid setting and what is wrong with it. */
 export function describeSchemaError(error: ErrorObject): {setting: string; detail: string} {
-	const base = error.instancePath === '' ? '' : error.instancePath;
+	const pointer = error.instancePath === '' ? '' : error.instancePath;
 	if (error.keyword === 'required') {
 		const missing = (error.params as {missingProperty: string}).missingProperty;
-		return {setting: `${base}/${missing}`, detail: 'is missing'};
+		return {setting: `${pointer}/${missing}`, detail: 'is missing'};
 	}
 
 	if (error.keyword === 'additionalProperties') {
 		const extra = (error.params as {additionalProperty: string}).additionalProperty;
-		return {setting: `${base}/${extra}`, detail: 'is not a known setting'};
+		return {setting: `${pointer}/${extra}`, detail: 'is not a known setting'};
 	}
 
-	return {setting: base === '' ? '/' : base, detail: error.message ?? 'is invalid'};
+	return {setting: pointer === '' ? '/' : pointer, detail: error.message ?? 'is invalid'};
 }
 
 /**
- * Narrows a value to `T` by its compiled check.
+ * Validates a value with a compiled check, and narrows its type to `T`.
  *
- * @param what Named in the error.
- * @throws {ProtocolError} When the value fails the check.
+ * @param subject What the value is, for the error message.
+ * @throws {ProtocolError} When the value is invalid.
  */
-export function narrow<T>(validate: ValidateFunction, value: unknown, what: string): T {
+export function narrow<T>(validate: ValidateFunction, value: unknown, subject: string): T {
 	if (!validate(value)) {
 		const {setting, detail} = describeSchemaError(validate.errors![0]);
-		throw new ProtocolError(`${what}: ${setting} ${detail}`);
+		throw new ProtocolError(`${subject}: ${setting} ${detail}`);
 	}
 
 	return value as T;
--- a/src/protocol/schema.ts
+++ b/src/protocol/schema.ts
@@ -1,6 +1,6 @@
 /**
- * Schema checking of settings and messages with `ajv`. One shared validator instance
- * so that schemas compile once per process.
+ * Compiles JSON schemas of settings and messages with `ajv`. All schemas share one `ajv`
+ * instance, so that each is compiled once per process.
  */
 import process from 'node:process';
 import {Ajv, type ValidateFunction} from 'ajv';
@@ -8,7 +8,7 @@
 
 const ajv = new Ajv({allErrors: false, useDefaults: true, strict: true});
 
-/** A compiled check that narrows an unknown value to `T` or throws. */
+/** A compiled schema check, which narrows an unknown value to `T` or throws. */
 export type Check<T> = {
 	(value: unknown): T;
 	readonly validate: ValidateFunction;
@@ -17,10 +17,11 @@
 /**
  * Compiles a JSON schema into a check.
  *
+ * @param subject What the checked values are, for the error message.
  * @throws {ProtocolError} From the returned check, when a value fails the schema.
  */
-export function compileCheck<T>(schema: Record<string, unknown>, what: string): Check<T> {
+export function compileCheck<T>(schema: Record<string, unknown>, subject: string): Check<T> {
 	const validate = ajv.compile(schema);
-	const check = (value: unknown): T => narrow<T>(validate, value, what);
+	const check = (value: unknown): T => narrow<T>(validate, value, subject);
 	return Object.assign(check, {validate});
 }
--- a/src/protocol/serving.ts
+++ b/src/protocol/serving.ts
@@ -1,87 +1,88 @@
 /**
- * The messages of the serving path: what the operators' configuration says of routes,
- * services and client accounts, what is known of a backend server, and what the daemon
- * reads of a caller's request. An adapter decodes a platform's own format into these.
+ * The types of the serving path: routes, services and client accounts from the operators'
+ * configuration, backend servers, callers' requests and backend servers' answers. A platform
+ * adapter translates the platform's own format to and from these types.
  */
 
-/** What may be repeated of a request. */
+/** The kinds of request, by whether they may be retried. */
 export enum RequestKind {
-	/** May run more than once. */
+	/** The request may run more than once. */
 	Idempotent = 'idempotent',
-	/** Runs at most once. */
+	/** The request may run at most once. */
 	NonIdempotent = 'non-idempotent',
-	/** Answered with a series of events; repeated only where its route is resumable. */
+	/** The request is answered with a stream of events, and is retried only if its route is resumable. */
 	Streaming = 'streaming',
 }
 
-/** A service that takes a share of a route's requests. */
+/** A service that receives a share of a route's requests, in proportion to its weight. */
 export type RouteTarget = {service: string; weight: number};
 
-/** How requests of one host and path prefix are served. */
+/** A route: how requests for one host and path prefix are served. */
 export type Route = {
 	name: string;
 	host: string;
-	/** Begins and ends with a slash. */
+	/** The path prefix, which begins and ends with a slash. */
 	pathPrefix: string;
 	kind: RequestKind;
-	/** Longest time that a request may be kept waiting, in milliseconds. */
+	/** Maximum time that a request may wait for its answer, in milliseconds. */
 	timeoutMs: number;
-	/** Time within which an answer is on time, in milliseconds; for streams, to the first event. */
+	/** Target for the time until the answer, in milliseconds; for streams, until the first event. */
 	latencyTargetMs: number;
-	/** 0 is the most urgent. */
+	/** The priority of requests; 0 is the most urgent. */
 	priority: number;
-	/** Most backend servers that may run one request. */
+	/** Maximum number of backend servers that may run one request. */
 	attempts: number;
 	/** Whether requests need no API key. */
 	isPublic: boolean;
+	/** Whether a stream may be continued by another run after a given event. */
 	isResumable: boolean;
 	targets: RouteTarget[];
 };
 
-/** What is known of the engines of a service. */
+/** The capabilities of a service's engines. */
 export type EngineTraits = {
-	/** Whether a running request may be moved with its KV cache. */
+	/** Whether a running request can be moved to another engine with its KV cache. */
 	canMove: boolean;
-	/** Output tokens in one event of a stream. */
+	/** Number of output tokens in one event of a stream. */
 	tokensPerEvent: number;
 };
 
-/** Limits and prices of a service's pool of backend servers, per failure domain. */
+/** The limits and prices of a service's pool of backend servers, per failure domain. */
 export type Scaling = {
 	min: number;
 	max: number;
-	/** Time from an order until the new backend server serves, in milliseconds. */
+	/** Time from an order until the new backend server is ready, in milliseconds. */
 	bootMs: number;
-	/** Price of a reclaimable VM as a share of an on-demand one; undefined where none are sold. */
+	/** Price of a reclaimable VM as a share of that of an on-demand VM; undefined if reclaimable VMs are not available. */
 	reclaimablePriceRatio: number | undefined;
 	/** Price of an on-demand VM per second, by failure domain. */
 	prices: Map<string, number>;
 };
 
-/** A service that routes send requests to. */
+/** A service, whose backend servers receive the requests of routes. */
 export type Service = {
 	name: string;
 	engine: EngineTraits | undefined;
 	scaling: Scaling | undefined;
 };
 
-/** A client account, its API keys and its limit over all daemons together. */
+/** A client account, with its API keys and its limit, which holds for all daemons together. */
 export type Account = {
 	name: string;
 	apiKeys: string[];
-	/** Goes before the route's priority. */
+	/** The priority of the account's requests; it overrides the route's priority. */
 	priority: number | undefined;
-	/** Cost units a second; undefined means no limit. */
+	/** The limit in cost units per second; undefined means no limit. */
 	ratePerSecond: number | undefined;
-	/** Cost units that may be used at once beyond the rate. */
+	/** Cost units that may be used in a burst beyond the rate. */
 	burst: number;
-	/** Whether a request costs its tokens rather than 1. */
+	/** Whether a request's cost is its number of tokens rather than 1. */
 	countsTokens: boolean;
-	/** Cost of a request that names no token counts, where tokens count. */
+	/** Cost of a request that states no token counts, if `countsTokens` is set. */
 	plainTokens: number;
 };
 
-/** What a client may send, and how long it may take or stay idle. */
+/** The limits on the size of clients' requests, and on the time to receive their headers and to stay idle. */
 export type ClientLimits = {
 	headerBytes: number;
 	bodyBytes: number;
@@ -98,19 +99,19 @@
 	accounts: Account[];
 };
 
-/** Whether a backend server takes new work. */
+/** Whether a backend server accepts new work. */
 export enum BackendState {
 	Ready = 'ready',
 	Draining = 'draining',
 }
 
-/** A running replica of a service, as the platform lists it. */
+/** A backend server: a running replica of a service, as listed by the platform. */
 export type Backend = {
-	/** Unique to one start of the backend server; all that is known of it goes by this, since a restarted one holds nothing of before. */
+	/** An id that is unique to one start of the backend server. All state is kept by this id, since a restarted backend server retains nothing (such as cached prompts) from before. */
 	id: string;
-	/** Its name on the platform, which it keeps when it starts again. */
+	/** The name on the platform, which stays the same when the backend server restarts. */
 	name: string;
-	/** When it started, in milliseconds since 1970; undefined where its entry does not say. */
+	/** The start time, in milliseconds since 1970; undefined if the entry does not state it. */
 	startedAtMs: number | undefined;
 	service: string;
 	host: string;
@@ -119,64 +120,64 @@
 	slots: number;
 	state: BackendState;
 	isReclaimable: boolean;
-	/** Time left before a leaving backend server goes, in milliseconds from when its state was written. */
+	/** Time until a leaving backend server stops, in milliseconds after its entry was written. */
 	leavesInMs: number | undefined;
-	/** How much longer it stays slow after its start, in milliseconds from when its state was written. */
+	/** Time for which it remains slow after its start (cold start), in milliseconds after its entry was written. */
 	coldForMs: number;
 };
 
-/** A part of a request's prompt, shared with other requests unless it is the last. */
+/** A part of a request's prompt. All parts but the last may be shared with other requests. */
 export type PromptPart = {id: string; tokens: number};
 
-/** What the daemon reads of a caller's request before it decides on it. */
+/** The parts of a caller's request by which the daemon decides how to serve it. */
 export type CallerRequest = {
-	/** Unique to one try of the client; it travels with the request and its answer. */
+	/** An id that is unique to one attempt of the client; the backend server's answer repeats it. */
 	id: string;
 	host: string;
 	path: string;
 	method: string;
 	apiKey: string | undefined;
-	/** How long the client waits, in milliseconds. */
+	/** How long the client waits for the answer, in milliseconds. */
 	deadlineMs: number | undefined;
 	promptTokens: number | undefined;
 	maxOutputTokens: number | undefined;
 	/** The client's estimate of the output's length, in tokens. */
 	expectedOutputTokens: number | undefined;
 	promptParts: PromptPart[];
-	/** The last event the client has of an earlier try. */
+	/** The id of the last event that the client received in an earlier attempt. */
 	lastEventId: string | undefined;
-	/** Headers that go on to the backend server, as name and value by turns. */
+	/** The headers that are forwarded to the backend server, as alternating names and values. */
 	forwardedHeaders: string[];
 };
 
-/** What the daemon sets on a request for one backend server. */
-export type Dispatch = {
+/** The values of the headers that the daemon adds to an attempt at one backend server. */
+export type AttemptHeaders = {
 	backendName: string;
 	account: string | undefined;
-	/** Time left for the answer, in milliseconds. */
+	/** Time until the answer is due, in milliseconds. */
 	deadlineMs: number;
 	priority: number | undefined;
-	/** Continues after this event instead of the one the client named. */
+	/** The id of the event after which the run continues, instead of the one that the client named. */
 	lastEventId: string | undefined;
-	/** Where the KV cache of the run to continue is, as host:port/handle. */
+	/** The location of the KV cache of the run to continue, as host:port/handle. */
 	kvSource: string | undefined;
-	/** Another engine to copy cached prompt parts from before the run. */
+	/** The engine from which cached prompt parts are copied before the run. */
 	copyFrom: Backend | undefined;
 };
 
-/** Load that a backend server states of itself. */
+/** The load that a backend server reports in its answer. */
 export type StatedLoad = {running: number; waiting: number; slots: number};
 
-/** What a backend server's answer says beside its bytes. */
+/** What the headers of a backend server's answer state. */
 export type AnswerMarks = {
 	requestId: string | undefined;
-	/** Whether the backend server signed the answer as its own. */
+	/** Whether the answer carries the seal by which a backend server marks its own answers. */
 	isSealed: boolean;
-	/** Whether it states that it did not run the request. */
+	/** Whether the backend server states that it did not run the request. */
 	isNotRun: boolean;
-	/** Whether the body is encoded, which backend servers never do. */
+	/** Whether the body has a content encoding; backend servers never use one. */
 	isEncoded: boolean;
 	load: StatedLoad | undefined;
-	/** Requests a second that the backend server takes from all daemons together; undefined when it states no limit. */
+	/** The number of requests per second that the backend server accepts from all daemons together; undefined if it states no limit. */
 	limitPerSecond: number | undefined;
 };
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,6 +1,6 @@
 /**
- * The JSON settings of every process: what they share, and the loader that checks them.
- * A process learns its addresses and failure domain from its settings only. The settings
+ * The parts that the JSON settings of all processes share, and the loader that checks them.
+ * A process learns its addresses and failure domain only from its settings. The settings
  * of a gateway are in `gateway-settings.ts`, those of the stand-ins in `standins/options.ts`.
  */
 import {readFileSync} from 'node:fs';
@@ -8,7 +8,7 @@
 import {describeSchemaError} from './schema-error.js';
 import {SettingsError} from './errors.js';
 
-/** Where a server listens. */
+/** The address at which a server listens. */
 export type Listen = {
 	host: string;
 	port: number;
@@ -25,18 +25,18 @@
 	additionalProperties: false,
 };
 
-/** The schema of a name: lower case, digits, dashes. */
+/** The schema of an id: lower-case letters, digits and dashes. */
 export const idSchema = {type: 'string', pattern: '^[a-z0-9][a-z0-9-]*$'};
-/** The schema of an address of another process. */
+/** The schema of the URL of another process. */
 export const urlSchema = {type: 'string', pattern: '^(https?|wss?)://'};
 
 /**
- * Reads a JSON settings file and checks it against a schema, filling defaults.
+ * Reads a JSON settings file, checks it against a schema and fills in defaults.
  *
- * @param file Path of the JSON file.
- * @param validate The validator of the process's settings.
- * @throws {SettingsError} Naming the file and the setting, when the file is missing,
- * is not JSON, or fails the schema.
+ * @param file The path of the JSON file.
+ * @param validate The compiled validator of the settings.
+ * @throws {SettingsError} When the file is missing, is not JSON or fails the schema; the
+ * error names the file and the setting.
  */
 export function loadSettings<T>(file: string, validate: ValidateFunction): T {
 	let text: string;
--- a/src/protocol/tokens.ts
+++ b/src/protocol/tokens.ts
@@ -1,9 +1,9 @@
 /**
- * How the project counts tokens of a prompt without a tokenizer: one token per
- * whitespace-separated word. The engine stand-in, routing and the bench agree on it.
+ * Counts the tokens of a prompt without a tokenizer: one token per whitespace-separated
+ * word. The engine stand-in, the router and the bench share this approximation.
  */
 
-/** Splits a prompt into the words that stand for its tokens. */
+/** Splits a prompt into words, each of which counts as one token. */
 export function promptTokens(prompt: string): string[] {
 	return prompt.split(/\s+/v).filter(word => word.length > 0);
 }
