--- a/src/protocol/errors.ts
+++ b/src/protocol/errors.ts
@@ -1,3 +1,4 @@
+/** The errors of messages and settings files that fail their schema. */
 import {SesametallyError} from '../errors.js';
 
 /** A message or settings file that does not match its schema. */
--- a/src/state/__tests__/backend-table.test.ts
+++ b/src/state/__tests__/backend-table.test.ts
@@ -59,7 +59,7 @@
 		expect(usable(table, 1000 + drainMs)).toEqual([]);
 	});
 
-	it.each([{leavesInMs: undefined, expected: drainMs}, {leavesInMs: 2600, expected: 2600}])('expects a backend server to leave after $expected ms if its entry says $leavesInMs', ({leavesInMs, expected}) => {
+	it.each([{leavesInMs: undefined, expected: drainMs}, {leavesInMs: 2600, expected: 2600}])('expects it to leave after $expected ms if it says $leavesInMs', ({leavesInMs, expected}) => {
 		const table = new BackendTable({drainMs});
 		expect(table.upsert(backend('a', BackendState.Draining, leavesInMs), 0).entry.leavesAtMs).toBe(expected);
 	});
--- a/src/state/backend-table.ts
+++ b/src/state/backend-table.ts
@@ -106,6 +106,7 @@
 		}
 	}
 
+	/** Returns the entry of a start of a backend server, by its id. */
 	get(id: string): BackendEntry | undefined {
 		return this.entriesById.get(id);
 	}
--- a/src/state/belief.ts
+++ b/src/state/belief.ts
@@ -8,6 +8,7 @@
 export class Belief {
 	private confirmedAtMs: number | undefined;
 
+	/** Whether the view has been read at least once. */
 	get isKnown(): boolean {
 		return this.confirmedAtMs !== undefined;
 	}
--- a/src/state/config-table.ts
+++ b/src/state/config-table.ts
@@ -71,7 +71,7 @@
 		return this.decide(offset, record);
 	}
 
-	/** Records that the records before `start` expired before they were read. */
+	/** Marks the records before `start` as expired before they were read. */
 	skipTo(start: number): void {
 		if (start > this.appliedOffset + 1) {
 			this.isMissingHistory = true;
@@ -100,12 +100,12 @@
 
 	/** Applies a snapshot; it changes nothing for a reader that has read all records it covers. */
 	private applySnapshot(offset: number, snapshot: ConfigSnapshot): ConfigOutcome {
-		const firstHeld = this.heldRecords.at(0)?.offset ?? offset;
+		const firstHeldOffset = this.heldRecords.at(0)?.offset ?? offset;
 		if (!this.isMissingHistory) {
 			return {offset, accepted: true};
 		}
 
-		if (snapshot.upTo < firstHeld - 1) {
+		if (snapshot.upTo < firstHeldOffset - 1) {
 			return {offset, accepted: false, reason: 'records after the snapshot expired'};
 		}
 
--- a/src/state/lease-table.ts
+++ b/src/state/lease-table.ts
@@ -22,15 +22,16 @@
 	/** The current lease, if one was claimed and not released. */
 	lease: Lease | undefined;
 	/**
-	 * Whether the last accepted record is known with certainty. For a reader that started after old records
-	 * expired it is not, until that reader reads a record whose base it has also read.
+	 * Whether the last accepted record is known with certainty. For a reader that started
+	 * after old records expired it is not, until that reader reads a record whose base it has
+	 * also read.
 	 */
 	isCertain = true;
 	private firstKeptOffset = 0;
 	/** While `isCertain` is false: the base of the record that is provisionally accepted. */
 	private tentativeBase = -1;
 
-	/** Records that the records before `start` expired before they were read. */
+	/** Marks the records before `start` as expired before they were read. */
 	skipTo(start: number): void {
 		this.firstKeptOffset = start;
 		this.isCertain = false;
--- a/src/state/route-table.ts
+++ b/src/state/route-table.ts
@@ -43,10 +43,12 @@
 	private readonly accountsByKey = new Map<string, Account>();
 	private readonly servicesByName = new Map<string, Service>();
 
+	/** The version of the current configuration; undefined before the first one. */
 	get version(): number | undefined {
 		return this.config?.version;
 	}
 
+	/** The current configuration, if one was applied. */
 	get current(): ServingConfig | undefined {
 		return this.config;
 	}
@@ -101,6 +103,7 @@
 		return this.accountsByKey.get(apiKey);
 	}
 
+	/** Returns the service with a name. */
 	service(name: string): Service | undefined {
 		return this.servicesByName.get(name);
 	}
