--- a/src/protocol/platform.ts
+++ b/src/protocol/platform.ts
@@ -4,7 +4,7 @@
  * decisions are made by the daemon.
  */
 import {
-	type AnswerMarks, type Backend, type CallerRequest, type AttemptHeaders, type ServingConfig,
+	type AnswerMarks, type AttemptHeaders, type Backend, type CallerRequest, type ServingConfig,
 } from './serving.js';
 import {type Listen} from './settings.js';
 
@@ -151,7 +151,7 @@
 	/** Reads a caller's request; returns undefined when a header that may occur only once is repeated. */
 	readRequest(method: string, path: string, rawHeaders: string[]): CallerRequest | undefined;
 	/** Returns the headers of an attempt at one backend server, as alternating names and values. */
-	backendHeaders(request: CallerRequest, dispatch: AttemptHeaders): string[];
+	backendHeaders(request: CallerRequest, attempt: AttemptHeaders): string[];
 	readAnswer(headers: NodeJS.Dict<string | string[]>): AnswerMarks;
 };
 
