--- a/src/testing/fake-store.ts
+++ b/src/testing/fake-store.ts
@@ -1,45 +1,52 @@
-/** A store in memory with the faults that tests ask for. */
+/** An in-memory implementation of the store, with faults that tests can switch on. */
 import {
 	type AppendResult, type KeyedRecord, type RecordBatch, type Store, type Topic,
 } from '../protocol/platform.js';
 import {StateError, UnknownAppendError} from '../state/errors.js';
 
-/** A store whose topics are arrays of records. */
+/** A store that keeps each topic as an array of records in memory. */
 export class FakeStore implements Store {
-	/** Whether calls fail without having done anything. */
+	/** Whether calls fail without any effect. */
 	isDown = false;
-	/** Whether appends are done and their answers lost. */
+	/** Whether appends take effect but then throw {@link UnknownAppendError}, as if the answer had been lost. */
 	losesAnswers = false;
-	/** Records that one read brings at most. */
+	/** The maximum number of records that one `read` returns. */
 	mostRecords = Number.POSITIVE_INFINITY;
-	/** Reads that were answered. */
+	/** The number of reads that were answered. */
 	reads = 0;
-	/** Calls that failed because it was down. */
+	/** The number of calls that failed because the store was down. */
 	refusals = 0;
 	private readonly topics = new Map<Topic, KeyedRecord[]>();
-	/** Records below this offset are not kept any more. */
-	private readonly firsts = new Map<Topic, number>();
+	/** The first offset of each compacted topic that `read` still accepts. */
+	private readonly firstOffsets = new Map<Topic, number>();
 
+	/** Appends a record and returns its offset; without a value the record deletes the key. */
 	put(topic: Topic, key: string, value: string | undefined): number {
-		const records = this.records(topic);
+		const records = this.getRecords(topic);
 		records.push({key, value: value === undefined ? undefined : new TextEncoder().encode(value), offset: records.length});
 		return records.length - 1;
 	}
 
-	/** Drops the history of a topic; the newest record of each key stays. */
+	/** Makes `read` refuse offsets before the current end, as after a compaction; the newest record of each key stays available. */
 	compact(topic: Topic): void {
-		this.firsts.set(topic, this.records(topic).length);
+		this.firstOffsets.set(topic, this.getRecords(topic).length);
 	}
 
+	/** Returns the number of records ever written to a topic. */
 	length(topic: Topic): number {
-		return this.records(topic).length;
+		return this.getRecords(topic).length;
 	}
 
+	/**
+	 * Returns the newest record of each key that is not deleted.
+	 *
+	 * @throws {StateError} When the store is down.
+	 */
 	async newest(topic: Topic): Promise<RecordBatch> {
-		this.check();
+		this.throwIfDown();
 		this.reads++;
 		const newest = new Map<string, KeyedRecord>();
-		for (const record of this.records(topic)) {
+		for (const record of this.getRecords(topic)) {
 			if (record.value) {
 				newest.set(record.key, record);
 			} else {
@@ -47,28 +54,39 @@
 			}
 		}
 
-		const end = this.records(topic).length;
+		const end = this.getRecords(topic).length;
 		return {records: [...newest.values()], next: end, end};
 	}
 
+	/**
+	 * Returns the records from an offset on; undefined when the offset is no longer available.
+	 *
+	 * @throws {StateError} When the store is down.
+	 */
 	async read(topic: Topic, from: number): Promise<RecordBatch | undefined> {
-		this.check();
+		this.throwIfDown();
 		this.reads++;
-		if (from < (this.firsts.get(topic) ?? 0)) {
+		if (from < (this.firstOffsets.get(topic) ?? 0)) {
 			return undefined;
 		}
 
 		await new Promise(resolve => {
 			setTimeout(resolve, 1);
 		});
-		const end = this.records(topic).length;
-		const records = this.records(topic).slice(from, from + Math.min(this.mostRecords, end));
+		const end = this.getRecords(topic).length;
+		const records = this.getRecords(topic).slice(from, from + Math.min(this.mostRecords, end));
 		return {records, next: from + records.length, end};
 	}
 
+	/**
+	 * Appends a record; with `at`, only if the topic ends at that offset.
+	 *
+	 * @throws {StateError} When the store is down.
+	 * @throws {UnknownAppendError} When answers are set to be lost; the record was appended.
+	 */
 	async append(topic: Topic, record: {key: string; value: Uint8Array}, at: number | undefined): Promise<AppendResult> {
-		this.check();
-		const records = this.records(topic);
+		this.throwIfDown();
+		const records = this.getRecords(topic);
 		if (at !== undefined && at !== records.length) {
 			return {kind: 'conflict', end: records.length};
 		}
@@ -81,14 +99,14 @@
 		return {kind: 'appended', offset: records.length - 1};
 	}
 
-	private check(): void {
+	private throwIfDown(): void {
 		if (this.isDown) {
 			this.refusals++;
-			throw new StateError('down');
+			throw new StateError('store is down');
 		}
 	}
 
-	private records(topic: Topic): KeyedRecord[] {
+	private getRecords(topic: Topic): KeyedRecord[] {
 		let records = this.topics.get(topic);
 		if (!records) {
 			records = [];
--- a/src/testing/stack.ts
+++ b/src/testing/stack.ts
@@ -1,6 +1,6 @@
 /**
- * Test helpers that start a small local stack of real processes on loopback and
- * wait until it serves. Each test file takes its own port range.
+ * Test helpers that start a small local stack of real processes on loopback and wait
+ * until it is ready. Each test file uses a port range of its own.
  */
 import {mkdtempSync, readFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -9,7 +9,11 @@
 import {requestJson, requestStream} from '../transport/http-client.js';
 import {readEvents} from '../transport/sse.js';
 
-/** A small topology: one model on two engines, one service, three gateways. */
+/**
+ * Returns a small topology: one model on two engines, one service and three gateways.
+ *
+ * @param overrides Topology fields that replace the defaults.
+ */
 export function smallTopology(basePort: number, overrides: Record<string, unknown> = {}): Record<string, unknown> {
 	return {
 		name: 'test',
@@ -31,21 +35,33 @@
 	};
 }
 
-/** Whether the process with these settings answers on its port. */
+/**
+ * Checks that the process with these settings answers on its port.
+ *
+ * @throws {TransportError} While it does not answer.
+ */
 async function isListening(settingsFile: string): Promise<boolean> {
 	const {listen} = JSON.parse(readFileSync(settingsFile, 'utf8')) as {listen: {host: string; port: number}};
 	const answer = await requestJson({method: 'GET', url: `http://${listen.host}:${listen.port}/debug/state`, timeoutMs: 500});
 	return answer.statusCode > 0;
 }
 
-/** Whether a gateway is ready and has heard from every engine it knows. */
+/**
+ * Checks that a gateway is ready and has a load report from every engine it knows.
+ *
+ * @throws {TransportError} While it does not answer.
+ */
 async function isServing({url, adminUrl}: {url: string; adminUrl: string}): Promise<boolean> {
 	const ready = await requestJson({method: 'GET', url: `${url}/ready`, timeoutMs: 500});
 	const {loads} = await readState<{loads: Record<string, {healthy: boolean; report?: unknown}>}>(adminUrl);
 	return ready.statusCode === 200 && Object.values(loads).every(view => view.healthy && view.report !== undefined);
 }
 
-/** Starts a topology's processes and waits until each answers and every gateway serves. */
+/**
+ * Starts the processes of a topology and waits until each answers and every gateway is ready.
+ *
+ * @throws {Error} When a process is not ready in time.
+ */
 export async function startTestStack(topology: Record<string, unknown>) {
 	const dir = mkdtempSync(path.join(tmpdir(), 'sesametally-'));
 	const stack = writeStackSettings(topology, dir);
@@ -60,10 +76,10 @@
 /** A running test stack. */
 export type TestStack = Awaited<ReturnType<typeof startTestStack>>;
 
-/** A stream as a caller received it. */
+/** What a caller received of a stream so far. */
 export type ReceivedStream = {status: number; outcome: unknown; requestId: string | undefined; text: string; seqs: number[]; done: boolean};
 
-/** What a caller asks of a gateway, and what to do on each token received so far. */
+/** A caller's streaming request to a gateway; `onToken` is called after each received token. */
 export type CallerStream = {
 	url: string;
 	prompt: string;
@@ -73,7 +89,7 @@
 	onToken?: (received: ReceivedStream) => Promise<void> | void;
 };
 
-/** Streams one completion as a caller; a connection that breaks ends it undone. */
+/** Streams one completion as a caller. If the connection breaks, the stream is returned as not done. */
 export async function receiveStream({url, prompt, maxTokens, headers, apiKey = 'coop-trading-desk-key', onToken}: CallerStream): Promise<ReceivedStream> {
 	const response = await requestStream({
 		method: 'POST',
@@ -100,19 +116,23 @@
 			await onToken?.(received);
 		}
 	} catch {
-		// The connection broke: what was received stands.
+		// The connection broke; the test gets what was received until then.
 	}
 
 	return received;
 }
 
-/** Publishes a preset through the first gateway and puts it in force. */
+/**
+ * Publishes a preset through the first gateway and activates it.
+ *
+ * @throws {Error} When the gateway does not accept one of the two changes.
+ */
 export async function publishPreset(stack: TestStack, preset: {name: string} & Record<string, unknown>): Promise<void> {
 	const {adminUrl} = stack.gateways[0];
 	const headers = {authorization: 'Bearer desk-ops-token-0001'};
 	const changes = [{path: 'presets', payload: {preset}}, {path: 'activate', payload: {name: preset.name}}];
 	for (const {path: action, payload} of changes) {
-		// eslint-disable-next-line no-await-in-loop -- the second change builds on the first.
+		// eslint-disable-next-line no-await-in-loop -- a preset must be published before it can be activated.
 		const answer = await requestJson<{accepted?: boolean}>({
 			method: 'POST', url: `${adminUrl}/admin/${action}`, payload, headers, timeoutMs: 20_000,
 		});
@@ -122,18 +142,18 @@
 	}
 }
 
-/** Posts fault switches to a stand-in. */
+/** Sets fault switches of a stand-in; switches that are not given keep their value. */
 export async function setFaults(url: string, faults: Record<string, unknown>): Promise<void> {
 	await requestJson({method: 'POST', url: `${url}/admin/faults`, payload: faults});
 }
 
-/** Reads the `state` part of a process's dump. */
+/** Returns the `state` object of a process's `/debug/state` dump. */
 export async function readState<T>(url: string): Promise<T> {
 	const dump = await requestJson<{state: T}>({method: 'GET', url: `${url}/debug/state`, timeoutMs: 1000});
 	return dump.body.state;
 }
 
-/** The process of a stack by its name. */
+/** Returns the process id of a stack's process by its name. */
 export function pidOf(stack: TestStack, name: string): number {
 	return stack.running.children.find(child => child.name === name)!.child.pid!;
 }
