--- a/src/standins/chunk-scrambler.ts
+++ b/src/standins/chunk-scrambler.ts
@@ -1,37 +1,38 @@
 /**
- * Scrambles the chunks of one stream on the way out of the engine stand-in, so that
- * tests can show that callers still get their whole answer in order.
+ * Reorders, duplicates or delays the chunks of a stream that the engine stand-in sends, so
+ * that tests can check that callers still receive the whole answer in order.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type EngineChunk} from '../protocol/engine-api.js';
 
-/** How chunks are scrambled. */
+/** The ways in which chunks are scrambled. */
 export enum ScrambleMode {
-	/** Groups of four leave in reverse order. */
+	/** Each group of four chunks is sent in reverse order. */
 	Reorder = 'reorder',
-	/** Each chunk leaves twice. */
+	/** Each chunk is sent twice. */
 	Duplicate = 'duplicate',
-	/** Every third chunk leaves late, after its successors. */
+	/** Every third chunk is sent late, after the chunks that follow it. */
 	Delay = 'delay',
 }
 
-const groupSize = 4;
-const delayMs = 60;
+const reorderGroupSize = 4;
+const lateChunkDelayMs = 60;
 
-/** One stream's scrambler. */
+/** Scrambles the chunks of one stream. */
 export class ChunkScrambler {
-	private group: EngineChunk[] = [];
+	private heldChunks: EngineChunk[] = [];
 
 	constructor(
 		private readonly mode: ScrambleMode,
 		private readonly write: (chunk: EngineChunk) => void,
 	) {}
 
+	/** Sends a chunk, now or later, as the mode says. */
 	push(chunk: EngineChunk): void {
 		switch (this.mode) {
 			case ScrambleMode.Reorder: {
-				this.group.push(chunk);
-				if (this.group.length >= groupSize) {
+				this.heldChunks.push(chunk);
+				if (this.heldChunks.length >= reorderGroupSize) {
 					this.flush();
 				}
 
@@ -46,7 +47,7 @@
 
 			case ScrambleMode.Delay: {
 				if (chunk.seq % 3 === 2) {
-					void this.writeLate(chunk);
+					void this.writeDelayed(chunk);
 				} else {
 					this.write(chunk);
 				}
@@ -56,21 +57,21 @@
 		}
 	}
 
-	/** Sends what is held back, so that the stream can end. */
+	/** Sends all chunks that are held back, so that the stream can end. */
 	flush(): void {
-		for (const chunk of this.group.toReversed()) {
+		for (const chunk of this.heldChunks.toReversed()) {
 			this.write(chunk);
 		}
 
-		this.group = [];
+		this.heldChunks = [];
 	}
 
-	private async writeLate(chunk: EngineChunk): Promise<void> {
-		this.group.push(chunk);
-		await delay(delayMs);
-		const index = this.group.indexOf(chunk);
+	private async writeDelayed(chunk: EngineChunk): Promise<void> {
+		this.heldChunks.push(chunk);
+		await delay(lateChunkDelayMs);
+		const index = this.heldChunks.indexOf(chunk);
 		if (index !== -1) {
-			this.group.splice(index, 1);
+			this.heldChunks.splice(index, 1);
 			this.write(chunk);
 		}
 	}
--- a/src/standins/cloud.ts
+++ b/src/standins/cloud.ts
@@ -1,10 +1,10 @@
 /**
- * Stand-in for the cloud API (see `protocol/cloud-api.ts`). It sells reclaimable and
- * on-demand VMs from a fixed set of slots, each an engine stand-in that is already
- * running as a process: starting a VM powers a slot on, a reclaim or stop cuts its power.
+ * Stand-in for the cloud API (see `protocol/cloud-api.ts`). It starts reclaimable and
+ * on-demand VMs on a fixed set of slots. Each slot is an engine stand-in that already runs
+ * as a process: starting a VM powers the slot on, and a reclaim or stop powers it off.
  *
  * `POST /admin/reclaim` `{failureDomain}` announces the reclaim of every reclaimable VM
- * there. Fault switch `refuseStarts`: the failure domains in which starts are refused.
+ * in that failure domain.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import type Hapi from '@hapi/hapi';
@@ -17,30 +17,31 @@
 import {createLogger} from '../log.js';
 import {waitForAbort} from '../abort.js';
 import {type CloudStandinSettings} from './options.js';
-import {addFaultRoute, applySlowMode} from './faults.js';
+import {addFaultRoutes, delayAnswer} from './faults.js';
 
 const log = createLogger('standin-cloud');
 
+/** Fault switches of the cloud stand-in. */
 type CloudFaults = {
-	/** Failure domains in which starts answer 503. */
+	/** Failure domains in which requests to start a VM are answered with 503. */
 	refuseStarts?: string[];
-	/** Every call but `/admin` answers 503. */
+	/** Every request except `/admin` and `/debug` is answered with 503. */
 	outage?: boolean;
-	/** Added delay of every answer, in milliseconds. */
+	/** Delay added to every answer except `/admin` and `/debug`, in milliseconds. */
 	slowMs?: number;
-	/** Starts take effect but their answer is lost. */
+	/** VMs are started, but the connection is dropped before the answer. */
 	loseAnswers?: boolean;
 };
 
-/** The VMs, slots and notices of one cloud. */
+/** The VMs, slots and reclaim notices of the simulated cloud. */
 class Cloud {
 	readonly faults: CloudFaults = {};
 	readonly notices: ReclaimNotice[] = [];
 	readonly vms = new Map<string, VmEntry>();
-	private started = 0;
-	/** Slots whose process is gone. */
-	private readonly brokenSlots = new Set<string>();
-	private readonly byRequest = new Map<string, string>();
+	private startedCount = 0;
+	/** URLs of slots whose process did not answer when a VM was started on them. */
+	private readonly unresponsiveSlotUrls = new Set<string>();
+	private readonly vmNamesByRequestId = new Map<string, string>();
 
 	constructor(
 		private readonly settings: CloudStandinSettings,
@@ -48,55 +49,58 @@
 	) {
 		for (const vm of settings.vms) {
 			this.vms.set(vm.name, {
-				...vm, state: VmState.Live, startedAtMs: Date.now(), perHour: this.priceOf(vm),
+				...vm, state: VmState.Live, startedAtMs: Date.now(), perHour: this.findHourlyPrice(vm),
 			});
 		}
 	}
 
-	/** VMs not yet gone. */
-	list(): VmEntry[] {
+	/** Returns the VMs that are not gone. */
+	listVms(): VmEntry[] {
 		return [...this.vms.values()].filter(vm => vm.state !== VmState.Gone);
 	}
 
-	/** Starts a VM on a free slot; undefined when there is no capacity. */
-	start(order: VmOrder): VmEntry | undefined {
-		const earlier = this.byRequest.get(order.requestId);
-		if (earlier !== undefined) {
-			return this.vms.get(earlier);
+	/**
+	 * Starts a VM on a free slot; undefined when there is no capacity. An order with a request
+	 * id that was seen before returns the VM that it started then.
+	 */
+	startVm(order: VmOrder): VmEntry | undefined {
+		const existingVmName = this.vmNamesByRequestId.get(order.requestId);
+		if (existingVmName !== undefined) {
+			return this.vms.get(existingVmName);
 		}
 
 		if (this.faults.refuseStarts?.includes(order.failureDomain)) {
 			return undefined;
 		}
 
-		const taken = new Set(this.list().map(vm => vm.url));
-		const slot = this.settings.slots.find(candidate => candidate.failureDomain === order.failureDomain && !taken.has(candidate.url) && !this.brokenSlots.has(candidate.url));
+		const usedUrls = new Set(this.listVms().map(vm => vm.url));
+		const slot = this.settings.slots.find(candidate => candidate.failureDomain === order.failureDomain && !usedUrls.has(candidate.url) && !this.unresponsiveSlotUrls.has(candidate.url));
 		if (!slot) {
 			return undefined;
 		}
 
 		const {failureDomain, machineClass, reclaimable} = order;
 		const vm: VmEntry = {
-			name: `vm-${++this.started}`, url: slot.url, failureDomain, machineClass, reclaimable, state: VmState.Booting, startedAtMs: Date.now(), perHour: this.priceOf(order),
+			name: `vm-${++this.startedCount}`, url: slot.url, failureDomain, machineClass, reclaimable, state: VmState.Booting, startedAtMs: Date.now(), perHour: this.findHourlyPrice(order),
 		};
 		this.vms.set(vm.name, vm);
-		this.byRequest.set(order.requestId, vm.name);
-		void this.boot(vm);
+		this.vmNamesByRequestId.set(order.requestId, vm.name);
+		void this.bootVm(vm);
 		return vm;
 	}
 
-	/** Stops a VM at once. */
-	async stop(vm: VmEntry): Promise<void> {
+	/** Stops a VM without notice. */
+	async stopVm(vm: VmEntry): Promise<void> {
 		if (vm.state !== VmState.Gone) {
 			vm.state = VmState.Gone;
-			await this.power(vm, false);
+			await this.setPower(vm, false);
 		}
 	}
 
-	/** Announces the reclaim of every reclaimable VM of a failure domain. */
-	reclaim(failureDomain: string): ReclaimNotice[] {
+	/** Announces the reclaim of every reclaimable VM of a failure domain and schedules their stop. */
+	announceReclaim(failureDomain: string): ReclaimNotice[] {
 		const nowMs = Date.now();
-		const leaving = this.list().filter(vm => vm.failureDomain === failureDomain && vm.reclaimable && vm.state !== VmState.Leaving);
+		const leaving = this.listVms().filter(vm => vm.failureDomain === failureDomain && vm.reclaimable && vm.state !== VmState.Leaving);
 		const announced = leaving.map(vm => {
 			vm.state = VmState.Leaving;
 			vm.leavesAtMs = nowMs + this.settings.reclaimNoticeMs;
@@ -104,46 +108,46 @@
 				number: this.notices.length, vm: vm.name, failureDomain, noticedAtMs: nowMs, leavesAtMs: vm.leavesAtMs,
 			};
 			this.notices.push(notice);
-			void this.stopAt(vm, vm.leavesAtMs - nowMs);
+			void this.stopVmAfter(vm, vm.leavesAtMs - nowMs);
 			return notice;
 		});
 		log.info('reclaim announced.', {failureDomain, vms: leaving.map(vm => vm.name)});
 		return announced;
 	}
 
-	private priceOf(order: {failureDomain: string; machineClass: string; reclaimable: boolean}): number {
+	private findHourlyPrice(order: {failureDomain: string; machineClass: string; reclaimable: boolean}): number {
 		return this.settings.prices.find(price => price.failureDomain === order.failureDomain && price.machineClass === order.machineClass && price.reclaimable === order.reclaimable)?.perHour ?? 0;
 	}
 
-	private async boot(vm: VmEntry): Promise<void> {
+	private async bootVm(vm: VmEntry): Promise<void> {
 		await delay(this.settings.bootMs, undefined, {signal: this.signal}).catch(() => undefined);
 		if (vm.state !== VmState.Booting) {
 			return;
 		}
 
-		const isUp = await this.power(vm, true);
-		vm.state = isUp ? VmState.Live : VmState.Gone;
-		if (!isUp) {
-			this.brokenSlots.add(vm.url);
+		const didBoot = await this.setPower(vm, true);
+		vm.state = didBoot ? VmState.Live : VmState.Gone;
+		if (!didBoot) {
+			this.unresponsiveSlotUrls.add(vm.url);
 		}
 	}
 
-	private async stopAt(vm: VmEntry, afterMs: number): Promise<void> {
+	private async stopVmAfter(vm: VmEntry, afterMs: number): Promise<void> {
 		await delay(afterMs, undefined, {signal: this.signal}).catch(() => undefined);
 		if (!this.signal.aborted) {
-			await this.stop(vm);
+			await this.stopVm(vm);
 		}
 	}
 
-	/** Switches a slot's power; false when its process does not answer. */
-	private async power(vm: VmEntry, isOn: boolean): Promise<boolean> {
+	/** Powers the slot of a VM on or off; returns false when its process does not answer. */
+	private async setPower(vm: VmEntry, isOn: boolean): Promise<boolean> {
 		try {
 			await requestJson({
 				method: 'POST', url: `${vm.url}/admin/power`, payload: {on: isOn, id: vm.name}, timeoutMs: 2000,
 			});
 			return true;
 		} catch (error) {
-			log.warn('slot did not answer.', {vm: vm.name, error: String(error)});
+			log.warn('VM slot did not answer the power request.', {vm: vm.name, error: String(error)});
 			return false;
 		}
 	}
@@ -158,13 +162,13 @@
 	const cloud = new Cloud(settings, signal);
 	const {faults, notices, vms} = cloud;
 	const server = createObservedServer(settings.listen, createRegistry(), () => ({faults, notices, vms: [...vms.values()]}));
-	addFaultRoute(server, faults);
+	addFaultRoutes(server, faults);
 	server.ext('onPreHandler', async (request, h) => {
 		if (request.path.startsWith('/admin/') || request.path.startsWith('/debug/')) {
 			return h.continue;
 		}
 
-		await applySlowMode(faults.slowMs);
+		await delayAnswer(faults.slowMs);
 		return faults.outage ? h.response({error: 'outage'}).code(503).takeover() : h.continue;
 	});
 	addVmRoutes(server, cloud);
@@ -175,7 +179,7 @@
 			return {next: notices.length, notices: notices.slice(from)};
 		},
 	});
-	server.route({method: 'POST', path: '/admin/reclaim', handler: request => cloud.reclaim((request.payload as {failureDomain: string}).failureDomain)});
+	server.route({method: 'POST', path: '/admin/reclaim', handler: request => cloud.announceReclaim((request.payload as {failureDomain: string}).failureDomain)});
 	await startServer(server);
 	log.info('listening.', {port: server.info.port});
 	await waitForAbort(signal);
@@ -183,12 +187,12 @@
 }
 
 function addVmRoutes(server: Hapi.Server, cloud: Cloud): void {
-	server.route({method: 'GET', path: '/vms', handler: () => cloud.list()});
+	server.route({method: 'GET', path: '/vms', handler: () => cloud.listVms()});
 	server.route({
 		method: 'POST',
 		path: '/vms',
 		handler(request, h) {
-			const vm = cloud.start(request.payload as VmOrder);
+			const vm = cloud.startVm(request.payload as VmOrder);
 			if (vm && cloud.faults.loseAnswers) {
 				request.raw.req.socket.destroy();
 				return h.abandon;
@@ -206,7 +210,7 @@
 				return h.response({error: 'no such VM'}).code(404);
 			}
 
-			await cloud.stop(vm);
+			await cloud.stopVm(vm);
 			return vm;
 		},
 	});
--- a/src/standins/engine-batch.ts
+++ b/src/standins/engine-batch.ts
@@ -1,63 +1,70 @@
 /**
- * The batch of the engine stand-in: continuous batching on a token clock. Every tick
- * each running sequence either prefills up to `prefillTokensPerTick` prompt tokens or
- * emits one output token. It keeps a prefix cache of limited size, holds the KV cache
- * of sequences whose caller went away or that were exported, and takes KV imports.
+ * The scheduler of the engine stand-in: continuous batching in fixed time steps (ticks). In
+ * every tick each running sequence either prefills up to `prefillTokensPerTick` prompt tokens
+ * or emits one output token. The scheduler has a prefix cache of limited size, holds the KV
+ * caches of sequences whose caller disconnected or that were exported, and imports KV caches.
  */
 import {createHash} from 'node:crypto';
 import {type EngineChunk, type EngineCompletionRequest, type KvSnapshot} from '../protocol/engine-api.js';
 import {promptTokens} from '../protocol/tokens.js';
-import {tokenAt} from './engine-output.js';
+import {generateToken} from './engine-output.js';
 
-/** How the batch runs; times in milliseconds. */
+/** Options of the scheduler. */
 export type BatchOptions = {
+	/** Prompt tokens that a sequence prefills per tick. */
 	prefillTokensPerTick: number;
+	/** Maximum number of running sequences. */
 	maxBatch: number;
+	/** Size of the prefix cache, in blocks of `blockTokens`. */
 	cacheBlocks: number;
 	blockTokens: number;
-	/** How long the KV cache of an abandoned or exported sequence is kept. */
+	/** How long the KV cache of an abandoned or exported sequence is held, in milliseconds. */
 	kvHoldMs: number;
 };
 
-/** Why a sequence's stream ended. */
+/** The reasons why a sequence's stream ended. */
 export enum SequenceEnd {
 	Finished = 'finished',
-	/** Its KV cache was exported; the stream goes on elsewhere. */
+	/** The KV cache was exported; the sequence continues on another engine. */
 	Exported = 'exported',
 	Cancelled = 'cancelled',
 }
 
-/** Where a sequence sends its chunks. */
+/** Callbacks that receive the chunks of a sequence and the end of its stream. */
 export type SequenceSink = {
-	chunk: (chunk: EngineChunk) => void;
-	end: (reason: SequenceEnd) => void;
+	onChunk: (chunk: EngineChunk) => void;
+	onEnd: (reason: SequenceEnd) => void;
 };
 
-/** A sequence in the batch or waiting for it. */
+/** A sequence that is running or waiting. */
 export class Sequence {
-	next: number;
-	prefillLeft = 0;
+	/** Index of the next output token, counted from the start of the whole answer. */
+	nextIndex: number;
+	remainingPrefillTokens = 0;
+	/** Prompt tokens found in the prefix cache. */
 	cachedTokens = 0;
-	/** Tokens this run had to compute before its first output. */
-	prefilled = 0;
-	started = false;
-	done = false;
+	/** Tokens that this run had to compute before its first output token. */
+	prefillTokens = 0;
+	/** Whether the sequence was admitted to the running batch. */
+	hasStarted = false;
+	isRemoved = false;
 
 	constructor(
 		readonly id: string,
 		readonly request: EngineCompletionRequest,
-		readonly arrival: number,
+		readonly arrivalIndex: number,
 		readonly sink: SequenceSink,
 	) {
-		this.next = request.resume_from ?? 0;
+		this.nextIndex = request.resume_from ?? 0;
 	}
 
+	/** The priority of the request; lower numbers run first. */
 	get priority(): number {
 		return this.request.priority ?? 0;
 	}
 }
 
-/** A least-recently-used set of prompt-prefix block hashes. */
+/** A cache of prompt-prefix block hashes with least-recently-used eviction. */
 class PrefixCache {
 	private readonly blocks = new Set<string>();
 
@@ -67,11 +74,11 @@
 		return this.blocks.size;
 	}
 
-	/** Returns how many leading blocks are cached, then caches all of them. */
-	admit(hashes: string[]): number {
-		let hits = 0;
-		while (hits < hashes.length && this.blocks.has(hashes[hits])) {
-			hits++;
+	/** Returns how many leading blocks are cached, then adds all of them to the cache. */
+	matchAndInsert(hashes: string[]): number {
+		let hitBlocks = 0;
+		while (hitBlocks < hashes.length && this.blocks.has(hashes[hitBlocks])) {
+			hitBlocks++;
 		}
 
 		for (const hash of hashes) {
@@ -83,7 +90,7 @@
 			this.blocks.delete(this.blocks.values().next().value!);
 		}
 
-		return hits;
+		return hitBlocks;
 	}
 
 	clear(): void {
@@ -91,11 +98,12 @@
 	}
 }
 
-function blockHashes(words: string[], blockTokens: number): string[] {
+/** Hashes each full block of tokens together with all blocks before it. */
+function hashBlocks(tokens: string[], blockTokens: number): string[] {
 	const hashes: string[] = [];
 	const hash = createHash('sha256');
-	for (let start = 0; start + blockTokens <= words.length; start += blockTokens) {
-		hash.update(words.slice(start, start + blockTokens).join(' '));
+	for (let start = 0; start + blockTokens <= tokens.length; start += blockTokens) {
+		hash.update(tokens.slice(start, start + blockTokens).join(' '));
 		hashes.push(hash.copy().digest('hex'));
 	}
 
@@ -104,15 +112,17 @@
 
 type HeldKv = KvSnapshot & {untilMs: number};
 
-/** The sequences of one engine. */
-export class Batch {
+/** Schedules the sequences of one engine. */
+export class BatchScheduler {
+	/** Output tokens generated so far. */
 	outputTokens = 0;
+	/** Tokens computed by prefill so far, without those taken from a cache. */
 	prefillTokens = 0;
-	private arrivals = 0;
+	private arrivalCount = 0;
 	private readonly waiting: Sequence[] = [];
 	private readonly running = new Map<string, Sequence>();
 	private readonly cache: PrefixCache;
-	private readonly held = new Map<string, HeldKv>();
+	private readonly heldKvById = new Map<string, HeldKv>();
 
 	constructor(private readonly options: BatchOptions) {
 		this.cache = new PrefixCache(options.cacheBlocks);
@@ -130,142 +140,145 @@
 		return this.cache.size;
 	}
 
-	/** Queues a request; a sequence with the same id is superseded. */
+	/** Queues a request; an existing sequence with the same id is cancelled, its KV cache held. */
 	submit(id: string, request: EngineCompletionRequest, sink: SequenceSink, nowMs: number): Sequence {
-		const older = this.find(id);
-		if (older) {
-			this.abandon(older, nowMs);
-			older.sink.end(SequenceEnd.Cancelled);
+		const previous = this.findSequence(id);
+		if (previous) {
+			this.abandonSequence(previous, nowMs);
+			previous.sink.onEnd(SequenceEnd.Cancelled);
 		}
 
-		const sequence = new Sequence(id, request, this.arrivals++, sink);
+		const sequence = new Sequence(id, request, this.arrivalCount++, sink);
 		this.waiting.push(sequence);
 		return sequence;
 	}
 
-	/** Stops a sequence whose caller went away and holds its KV cache for a reconnect. */
-	abandon(sequence: Sequence, nowMs: number): void {
-		if (!sequence.done) {
-			this.hold(sequence, nowMs);
-			this.remove(sequence);
+	/** Stops a sequence whose caller disconnected and holds its KV cache for a reconnect. */
+	abandonSequence(sequence: Sequence, nowMs: number): void {
+		if (!sequence.isRemoved) {
+			this.holdKv(sequence, nowMs);
+			this.removeSequence(sequence);
 		}
 	}
 
-	/** Stops a sequence; returns it if it was still there. */
-	cancel(id: string): Sequence | undefined {
-		const sequence = this.find(id);
+	/** Stops a sequence and returns it; undefined when there is none with this id. */
+	cancelSequence(id: string): Sequence | undefined {
+		const sequence = this.findSequence(id);
 		if (sequence) {
-			this.remove(sequence);
-			sequence.sink.end(SequenceEnd.Cancelled);
+			this.removeSequence(sequence);
+			sequence.sink.onEnd(SequenceEnd.Cancelled);
 		}
 
 		return sequence;
 	}
 
-	/** Stops a sequence, ends its stream, and holds its KV cache for an import elsewhere. */
-	export(id: string, nowMs: number): KvSnapshot | undefined {
-		const sequence = this.find(id);
+	/**
+	 * Stops a sequence, ends its stream, and holds its KV cache for import by another engine.
+	 * Returns undefined when there is no sequence with this id.
+	 */
+	exportKv(id: string, nowMs: number): KvSnapshot | undefined {
+		const sequence = this.findSequence(id);
 		if (!sequence) {
 			return undefined;
 		}
 
-		const snapshot = this.hold(sequence, nowMs);
-		this.remove(sequence);
-		sequence.sink.end(SequenceEnd.Exported);
+		const snapshot = this.holdKv(sequence, nowMs);
+		this.removeSequence(sequence);
+		sequence.sink.onEnd(SequenceEnd.Exported);
 		return snapshot;
 	}
 
-	/** The KV cache held for a request, if any. */
-	heldKv(id: string, nowMs: number): KvSnapshot | undefined {
-		const held = this.held.get(id);
+	/** Returns the KV cache held for a request, if there is one that has not expired. */
+	findHeldKv(id: string, nowMs: number): KvSnapshot | undefined {
+		const held = this.heldKvById.get(id);
 		return held && held.untilMs > nowMs ? {requestId: held.requestId, promptHash: held.promptHash, tokens: held.tokens} : undefined;
 	}
 
-	/** Takes a KV cache exported by another engine. */
-	import(snapshot: KvSnapshot, nowMs: number): void {
-		this.held.set(snapshot.requestId, {...snapshot, untilMs: nowMs + this.options.kvHoldMs});
+	/** Holds a KV cache that another engine exported. */
+	importKv(snapshot: KvSnapshot, nowMs: number): void {
+		this.heldKvById.set(snapshot.requestId, {...snapshot, untilMs: nowMs + this.options.kvHoldMs});
 	}
 
-	/** Drops everything, as a loss of power does. */
+	/** Drops all sequences and caches without notice to callers, as a power loss does. */
 	clear(): void {
 		for (const sequence of [...this.running.values(), ...this.waiting]) {
-			this.remove(sequence);
+			this.removeSequence(sequence);
 		}
 
-		this.held.clear();
+		this.heldKvById.clear();
 		this.cache.clear();
 	}
 
-	/** Advances the token clock by one tick. */
+	/** Runs one tick: admits waiting sequences, advances the running ones, drops expired KV caches. */
 	tick(nowMs: number): void {
-		this.admit(nowMs);
+		this.admitWaiting(nowMs);
 		for (const sequence of this.running.values()) {
-			if (sequence.prefillLeft > 0) {
-				sequence.prefillLeft = Math.max(0, sequence.prefillLeft - this.options.prefillTokensPerTick);
+			if (sequence.remainingPrefillTokens > 0) {
+				sequence.remainingPrefillTokens = Math.max(0, sequence.remainingPrefillTokens - this.options.prefillTokensPerTick);
 			} else {
 				this.emitToken(sequence);
 			}
 		}
 
-		for (const [id, held] of this.held) {
+		for (const [id, held] of this.heldKvById) {
 			if (held.untilMs <= nowMs) {
-				this.held.delete(id);
+				this.heldKvById.delete(id);
 			}
 		}
 	}
 
 	private emitToken(sequence: Sequence): void {
 		const {request} = sequence;
-		const index = sequence.next++;
-		const last = sequence.next >= request.max_tokens;
-		const first = index === (request.resume_from ?? 0);
+		const index = sequence.nextIndex++;
+		const isLast = sequence.nextIndex >= request.max_tokens;
+		const isFirst = index === (request.resume_from ?? 0);
 		this.outputTokens++;
-		sequence.sink.chunk({
+		sequence.sink.onChunk({
 			id: sequence.id,
 			object: 'text_completion',
 			model: request.model,
-			choices: [{index: 0, text: tokenAt(request.prompt, index), finish_reason: last ? 'length' : null}],
+			choices: [{index: 0, text: generateToken(request.prompt, index), finish_reason: isLast ? 'length' : null}],
 			seq: index,
-			...(first ? {prefilled: sequence.prefilled} : {}),
+			...(isFirst ? {prefilled: sequence.prefillTokens} : {}),
 		});
-		if (last) {
-			this.remove(sequence);
-			sequence.sink.end(SequenceEnd.Finished);
+		if (isLast) {
+			this.removeSequence(sequence);
+			sequence.sink.onEnd(SequenceEnd.Finished);
 		}
 	}
 
-	private admit(nowMs: number): void {
-		this.waiting.sort((a, b) => a.priority - b.priority || a.arrival - b.arrival);
+	private admitWaiting(nowMs: number): void {
+		this.waiting.sort((a, b) => a.priority - b.priority || a.arrivalIndex - b.arrivalIndex);
 		while (this.running.size < this.options.maxBatch && this.waiting.length > 0) {
 			const sequence = this.waiting.shift()!;
-			const words = promptTokens(sequence.request.prompt);
-			const hits = this.cache.admit(blockHashes(words, this.options.blockTokens));
-			sequence.cachedTokens = hits * this.options.blockTokens;
-			const total = words.length + sequence.next;
-			const kv = this.heldKv(sequence.id, nowMs);
-			const kvTokens = kv?.promptHash === promptHash(sequence.request.prompt) ? Math.min(kv.tokens, total) : 0;
-			this.held.delete(sequence.id);
-			sequence.prefillLeft = total - Math.max(kvTokens, sequence.cachedTokens);
-			sequence.prefilled = sequence.prefillLeft;
-			sequence.started = true;
-			this.prefillTokens += sequence.prefillLeft;
+			const tokens = promptTokens(sequence.request.prompt);
+			const hitBlocks = this.cache.matchAndInsert(hashBlocks(tokens, this.options.blockTokens));
+			sequence.cachedTokens = hitBlocks * this.options.blockTokens;
+			const totalTokens = tokens.length + sequence.nextIndex;
+			const kv = this.findHeldKv(sequence.id, nowMs);
+			const kvTokens = kv?.promptHash === hashPrompt(sequence.request.prompt) ? Math.min(kv.tokens, totalTokens) : 0;
+			this.heldKvById.delete(sequence.id);
+			sequence.remainingPrefillTokens = totalTokens - Math.max(kvTokens, sequence.cachedTokens);
+			sequence.prefillTokens = sequence.remainingPrefillTokens;
+			sequence.hasStarted = true;
+			this.prefillTokens += sequence.remainingPrefillTokens;
 			this.running.set(sequence.id, sequence);
 		}
 	}
 
-	private hold(sequence: Sequence, nowMs: number): KvSnapshot {
-		const computed = sequence.started ? promptTokens(sequence.request.prompt).length + sequence.next - sequence.prefillLeft : 0;
-		const snapshot = {requestId: sequence.id, promptHash: promptHash(sequence.request.prompt), tokens: computed};
-		this.held.set(sequence.id, {...snapshot, untilMs: nowMs + this.options.kvHoldMs});
+	private holdKv(sequence: Sequence, nowMs: number): KvSnapshot {
+		const computedTokens = sequence.hasStarted ? promptTokens(sequence.request.prompt).length + sequence.nextIndex - sequence.remainingPrefillTokens : 0;
+		const snapshot = {requestId: sequence.id, promptHash: hashPrompt(sequence.request.prompt), tokens: computedTokens};
+		this.heldKvById.set(sequence.id, {...snapshot, untilMs: nowMs + this.options.kvHoldMs});
 		return snapshot;
 	}
 
-	private find(id: string): Sequence | undefined {
+	private findSequence(id: string): Sequence | undefined {
 		return this.running.get(id) ?? this.waiting.find(candidate => candidate.id === id);
 	}
 
-	private remove(sequence: Sequence): void {
-		sequence.done = true;
+	private removeSequence(sequence: Sequence): void {
+		sequence.isRemoved = true;
 		if (this.running.get(sequence.id) === sequence) {
 			this.running.delete(sequence.id);
 		}
@@ -277,6 +290,6 @@
 	}
 }
 
-function promptHash(prompt: string): string {
+function hashPrompt(prompt: string): string {
 	return createHash('sha256').update(prompt).digest('hex');
 }
--- a/src/standins/engine-output.ts
+++ b/src/standins/engine-output.ts
@@ -1,7 +1,7 @@
 /**
- * The deterministic output of the engine stand-in: token `i` of the answer to a
- * prompt depends only on the prompt and `i`, so a test can check a whole answer
- * byte for byte and a resumed stream can continue at any index.
+ * The deterministic output of the engine stand-in: token `i` of the answer to a prompt
+ * depends only on the prompt and `i`. So a test can check a whole answer byte for byte, and
+ * a resumed stream can continue at any index.
  */
 import {createHash} from 'node:crypto';
 
@@ -39,7 +39,7 @@
 ];
 
 /** Returns token `index` (0-based) of the answer to `prompt`, with its trailing space. */
-export function tokenAt(prompt: string, index: number): string {
+export function generateToken(prompt: string, index: number): string {
 	const digest = createHash('sha256').update(prompt).update('\0').update(String(index)).digest();
 	return vocabulary[digest.readUInt32BE(0) % vocabulary.length] + ' ';
 }
@@ -48,7 +48,7 @@
 export function completionText(prompt: string, maxTokens: number): string {
 	let text = '';
 	for (let index = 0; index < maxTokens; index++) {
-		text += tokenAt(prompt, index);
+		text += generateToken(prompt, index);
 	}
 
 	return text;
--- a/src/standins/engine.ts
+++ b/src/standins/engine.ts
@@ -1,10 +1,11 @@
 /**
- * Stand-in for a model engine: its HTTP side (see `protocol/engine-api.ts`). The work
- * itself is in `engine-batch.ts`. Load is reported with a lag; orders with an old
- * fencing token are refused when the engine is set to check them, and obeyed when not.
+ * Stand-in for a model engine: its HTTP server (see `protocol/engine-api.ts`). The scheduler
+ * is in `engine-batch.ts`. Load is reported with a lag. Orders with an old fencing token are
+ * refused when the setting `checksFencing` is on, and carried out otherwise.
  *
- * Its VM is played here too: `POST /admin/power` `{on, id, model}` cuts the power (every
- * connection drops, memory is lost) or boots it again as another VM at the same address.
+ * The module also simulates the VM of the engine: `POST /admin/power` `{on, id, model}` powers
+ * it off (every connection is closed, memory is lost) or boots it as another VM at the same
+ * address.
  */
 import {PassThrough} from 'node:stream';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -21,43 +22,43 @@
 import {waitForAbort} from '../abort.js';
 import {promptTokens} from '../protocol/tokens.js';
 import {type EngineStandinSettings} from './options.js';
-import {addFaultRoute} from './faults.js';
-import {Batch, type Sequence, SequenceEnd} from './engine-batch.js';
+import {addFaultRoutes} from './faults.js';
+import {BatchScheduler, type Sequence, SequenceEnd} from './engine-batch.js';
 import {ChunkScrambler, type ScrambleMode} from './chunk-scrambler.js';
 
 const log = createLogger('standin-engine');
 
-/** Pause before a refused weight download is tried again, in milliseconds. */
-const weightRetryMs = 200;
+/** Delay before a failed weight download is retried, in milliseconds. */
+const weightRetryDelayMs = 200;
 
 /** Fault switches of the engine stand-in. */
 type EngineFaults = {
-	/** New completions answer 503, not run. */
+	/** New completions are refused with 503 and the code `not_run`. */
 	refuse?: boolean;
-	/** Completions begin, then their connection drops before the first token. */
+	/** Completions start, but their connection is dropped before the first token is sent. */
 	dropAfterStart?: boolean;
-	/** Completions are queued but never begin, and their connection drops. */
+	/** Completions are queued but never start, and their connection is dropped. */
 	dropWhileQueued?: boolean;
-	/** Chunks of a stream are reordered, delayed or duplicated. */
+	/** The chunks of each stream are reordered, delayed or duplicated. */
 	scramble?: ScrambleMode;
-	/** KV exports answer 503. */
+	/** KV exports are refused with 503. */
 	refuseExport?: boolean;
 };
 
-/** An order as it arrived, for tests. */
+/** A received order and whether it was accepted, for the state dump. */
 type ReceivedOrder = EngineOrder & {atMs: number; accepted: boolean};
 
-/** One engine process: the VM it plays, its batch and its server. */
+/** One engine process: its HTTP server, its scheduler and its simulated VM. */
 class EngineStandin {
 	private id: string;
 	private model: string | undefined;
 	private role = EngineRole.Serving;
-	private powered = true;
-	private stopping = false;
+	private isPowered = true;
+	private isStopping = false;
 	private highestFencingToken = -1;
-	private batch: Batch;
-	private reported: EngineLoad;
-	private completionsTaken = 0;
+	private scheduler: BatchScheduler;
+	private reportedLoad: EngineLoad;
+	private acceptedCompletions = 0;
 	private lastCompletionMs = 0;
 	private readonly faults: EngineFaults = {};
 	private readonly orders: ReceivedOrder[] = [];
@@ -66,48 +67,53 @@
 	constructor(private readonly settings: EngineStandinSettings) {
 		this.id = settings.id;
 		this.model = settings.model;
-		this.powered = settings.powered;
-		this.batch = new Batch(settings);
-		this.reported = this.measureLoad();
+		this.isPowered = settings.powered;
+		this.scheduler = new BatchScheduler(settings);
+		this.reportedLoad = this.measureLoad();
 		const registry = createRegistry();
-		const gauge = (name: string, help: string, read: () => number) => new Gauge({
+		const addGauge = (name: string, help: string, read: () => number) => new Gauge({
 			name, help, registers: [registry], collect() {
 				this.set(read());
 			},
 		});
-		gauge('engine_output_tokens', 'Output tokens generated.', () => this.batch.outputTokens);
-		gauge('engine_prefill_tokens', 'Prompt tokens computed, not taken from a cache.', () => this.batch.prefillTokens);
-		this.server = createObservedServer(settings.listen, registry, () => this.dump());
-		addFaultRoute(this.server, this.faults);
+		addGauge('engine_output_tokens', 'Output tokens generated.', () => this.scheduler.outputTokens);
+		addGauge('engine_prefill_tokens', 'Prompt tokens computed, not taken from a cache.', () => this.scheduler.prefillTokens);
+		this.server = createObservedServer(settings.listen, registry, () => this.dumpState());
+		addFaultRoutes(this.server, this.faults);
 		this.addRoutes();
 	}
 
-	/** Serves until the signal aborts, then refuses new work and finishes what runs. */
+	/**
+	 * Serves until the signal aborts, then refuses new requests and finishes those accepted.
+	 *
+	 * @throws {TransportError} When the port cannot be bound.
+	 */
 	async run(signal: AbortSignal): Promise<void> {
 		await startServer(this.server);
 		log.info('listening.', {id: this.id, model: this.model, port: this.server.info.port});
-		const clock = this.runClock();
+		const clock = this.runTokenClock();
 		await waitForAbort(signal);
-		this.stopping = true;
-		log.info('draining.', {running: this.batch.runningCount, waiting: this.batch.waitingCount});
+		this.isStopping = true;
+		log.info('draining.', {running: this.scheduler.runningCount, waiting: this.scheduler.waitingCount});
 		await clock;
 		await this.server.stop({timeout: 1000});
 		log.info('stopped.');
 	}
 
-	private async runClock(): Promise<void> {
+	/** Ticks the scheduler and refreshes the reported load until the engine is stopping and idle. */
+	private async runTokenClock(): Promise<void> {
 		let lastReportMs = 0;
-		const isFinished = () => this.stopping && this.batch.runningCount === 0 && this.batch.waitingCount === 0;
+		const isFinished = () => this.isStopping && this.scheduler.runningCount === 0 && this.scheduler.waitingCount === 0;
 		while (!isFinished()) {
 			// eslint-disable-next-line no-await-in-loop
 			await delay(this.settings.tpotMs);
 			const nowMs = Date.now();
 			if (!this.faults.dropWhileQueued) {
-				this.batch.tick(nowMs);
+				this.scheduler.tick(nowMs);
 			}
 
 			if (nowMs - lastReportMs >= this.settings.loadLagMs) {
-				this.reported = this.measureLoad();
+				this.reportedLoad = this.measureLoad();
 				lastReportMs = nowMs;
 			}
 		}
@@ -117,29 +123,29 @@
 		return {
 			id: this.id,
 			model: this.model,
-			role: this.stopping ? EngineRole.Draining : this.role,
-			running: this.batch.runningCount,
-			waiting: this.batch.waitingCount,
+			role: this.isStopping ? EngineRole.Draining : this.role,
+			running: this.scheduler.runningCount,
+			waiting: this.scheduler.waitingCount,
 			maxBatch: this.settings.maxBatch,
-			cacheBlocksUsed: this.batch.cacheBlocksUsed,
+			cacheBlocksUsed: this.scheduler.cacheBlocksUsed,
 			cacheBlocks: this.settings.cacheBlocks,
 			measuredAtMs: Date.now(),
 		};
 	}
 
-	private dump(): Record<string, unknown> {
+	private dumpState(): Record<string, unknown> {
 		return {
 			id: this.id,
 			model: this.model,
-			powered: this.powered,
+			powered: this.isPowered,
 			load: this.measureLoad(),
-			reported: this.reported,
+			reported: this.reportedLoad,
 			highestFencingToken: this.highestFencingToken,
 			orders: this.orders,
-			completionsTaken: this.completionsTaken,
+			completionsTaken: this.acceptedCompletions,
 			lastCompletionMs: this.lastCompletionMs,
-			prefillTokens: this.batch.prefillTokens,
-			outputTokens: this.batch.outputTokens,
+			prefillTokens: this.scheduler.prefillTokens,
+			outputTokens: this.scheduler.outputTokens,
 			faults: this.faults,
 		};
 	}
@@ -147,20 +153,20 @@
 	private addRoutes(): void {
 		const {server} = this;
 		server.ext('onRequest', (request, h) => {
-			const isPlayedByVm = !request.path.startsWith('/admin/') && !request.path.startsWith('/debug/');
-			if (!this.powered && isPlayedByVm) {
+			const isServedByVm = !request.path.startsWith('/admin/') && !request.path.startsWith('/debug/');
+			if (!this.isPowered && isServedByVm) {
 				request.raw.req.socket.destroy();
 				return h.abandon;
 			}
 
 			return h.continue;
 		});
-		server.route({method: 'POST', path: '/v1/completions', handler: async (request, h) => this.complete(request, h)});
-		server.route({method: 'GET', path: '/load', handler: () => this.reported});
+		server.route({method: 'POST', path: '/v1/completions', handler: async (request, h) => this.handleCompletion(request, h)});
+		server.route({method: 'GET', path: '/load', handler: () => this.reportedLoad});
 		server.route({
 			method: 'POST', path: '/v1/requests/{id}/cancel', handler: (request): CancelAnswer => {
-				const sequence = this.batch.cancel(request.params.id as string);
-				return {cancelled: sequence !== undefined, started: sequence?.started ?? true, tokensSent: sequence?.next ?? 0};
+				const sequence = this.scheduler.cancelSequence(request.params.id as string);
+				return {cancelled: sequence !== undefined, started: sequence?.hasStarted ?? true, tokensSent: sequence?.nextIndex ?? 0};
 			},
 		});
 		server.route({
@@ -169,22 +175,22 @@
 					return h.response({error: 'export refused'}).code(503);
 				}
 
-				return this.batch.export(request.params.id as string, Date.now()) ?? h.response({error: 'no such request'}).code(404);
+				return this.scheduler.exportKv(request.params.id as string, Date.now()) ?? h.response({error: 'no such request'}).code(404);
 			},
 		});
 		server.route({
 			method: 'GET', path: '/v1/kv/{id}', handler: (request, h) =>
-				this.batch.heldKv(request.params.id as string, Date.now()) ?? h.response({error: 'no KV cache held'}).code(404),
+				this.scheduler.findHeldKv(request.params.id as string, Date.now()) ?? h.response({error: 'no KV cache held'}).code(404),
 		});
 		server.route({
 			method: 'POST', path: '/v1/kv/import', handler: async request => {
 				const {requestId, source} = request.payload as KvImport;
 				const snapshot = await fetchJson<KvSnapshot>({method: 'GET', url: `${source}/v1/kv/${encodeURIComponent(requestId)}`, timeoutMs: 2000});
-				this.batch.import(snapshot, Date.now());
+				this.scheduler.importKv(snapshot, Date.now());
 				return snapshot;
 			},
 		});
-		server.route({method: 'POST', path: '/v1/orders', handler: (request, h) => this.obey(request.payload as EngineOrder, h)});
+		server.route({method: 'POST', path: '/v1/orders', handler: (request, h) => this.handleOrder(request.payload as EngineOrder, h)});
 		server.route({
 			method: 'POST', path: '/admin/power', handler: request => {
 				const {on, id, model} = request.payload as {on: boolean; id?: string; model?: string};
@@ -194,9 +200,9 @@
 		});
 	}
 
-	private complete(request: Hapi.Request, h: Hapi.ResponseToolkit): Hapi.ResponseObject | symbol | Promise<unknown> {
+	private handleCompletion(request: Hapi.Request, h: Hapi.ResponseToolkit): Hapi.ResponseObject | symbol | Promise<unknown> {
 		const body = request.payload as EngineCompletionRequest;
-		const isRefusing = this.stopping || this.role === EngineRole.Draining || this.faults.refuse === true;
+		const isRefusing = this.isStopping || this.role === EngineRole.Draining || this.faults.refuse === true;
 		if (isRefusing) {
 			return h.response({error: {message: 'engine is not taking work', type: 'unavailable', code: notRunCode}}).code(503);
 		}
@@ -205,21 +211,21 @@
 			return h.response({error: {message: `model ${body.model} is not loaded`, type: 'unavailable', code: notRunCode}}).code(503);
 		}
 
-		this.completionsTaken++;
+		this.acceptedCompletions++;
 		this.lastCompletionMs = Date.now();
-		const id = body.request_id ?? `cmpl-${this.id}-${this.completionsTaken}`;
-		return body.stream ? this.completeStreaming(request, h, id, body) : this.completeWhole(id, body);
+		const id = body.request_id ?? `cmpl-${this.id}-${this.acceptedCompletions}`;
+		return body.stream ? this.respondWithStream(request, h, id, body) : this.respondWithCompletion(id, body);
 	}
 
-	private completeStreaming(request: Hapi.Request, h: Hapi.ResponseToolkit, id: string, body: EngineCompletionRequest): Hapi.ResponseObject | symbol {
+	private respondWithStream(request: Hapi.Request, h: Hapi.ResponseToolkit, id: string, body: EngineCompletionRequest): Hapi.ResponseObject | symbol {
 		const stream = new PassThrough();
 		const write = (chunk: EngineChunk) => {
 			stream.write(`data: ${JSON.stringify(chunk)}\n\n`);
 		};
 
 		const scrambler = this.faults.scramble === undefined ? undefined : new ChunkScrambler(this.faults.scramble, write);
-		const sequence = this.batch.submit(id, body, {
-			chunk: chunk => {
+		const sequence = this.scheduler.submit(id, body, {
+			onChunk: chunk => {
 				if (this.faults.dropAfterStart) {
 					request.raw.req.socket.destroy();
 				} else if (scrambler) {
@@ -228,7 +234,7 @@
 					write(chunk);
 				}
 			},
-			end(reason) {
+			onEnd(reason) {
 				scrambler?.flush();
 				stream.end(reason === SequenceEnd.Finished ? 'data: [DONE]\n\n' : undefined);
 			},
@@ -239,7 +245,7 @@
 		}
 
 		const abandon = () => {
-			this.batch.abandon(sequence, Date.now());
+			this.scheduler.abandonSequence(sequence, Date.now());
 		};
 
 		request.raw.req.once('close', abandon);
@@ -247,23 +253,23 @@
 		return h.response(stream).type('text/event-stream').header('cache-control', 'no-cache');
 	}
 
-	private async completeWhole(id: string, body: EngineCompletionRequest): Promise<unknown> {
+	private async respondWithCompletion(id: string, body: EngineCompletionRequest): Promise<unknown> {
 		return new Promise(resolve => {
 			let text = '';
-			const sequence: Sequence = this.batch.submit(id, body, {
-				chunk(chunk) {
+			const sequence: Sequence = this.scheduler.submit(id, body, {
+				onChunk(chunk) {
 					text += chunk.choices[0].text;
 				},
-				end() {
-					const promptCount = promptTokens(body.prompt).length;
-					const completionCount = body.max_tokens - (body.resume_from ?? 0);
+				onEnd() {
+					const promptTokenCount = promptTokens(body.prompt).length;
+					const completionTokenCount = body.max_tokens - (body.resume_from ?? 0);
 					resolve({
 						id,
 						object: 'text_completion',
 						model: body.model,
 						choices: [{index: 0, text, finish_reason: 'length'}],
 						usage: {
-							prompt_tokens: promptCount, completion_tokens: completionCount, total_tokens: promptCount + completionCount, cached_tokens: sequence.cachedTokens,
+							prompt_tokens: promptTokenCount, completion_tokens: completionTokenCount, total_tokens: promptTokenCount + completionTokenCount, cached_tokens: sequence.cachedTokens,
 						},
 					});
 				},
@@ -271,7 +277,8 @@
 		});
 	}
 
-	private obey(order: EngineOrder, h: Hapi.ResponseToolkit): Hapi.ResponseObject | {accepted: boolean; highestFencingToken: number} {
+	/** Carries out an order, or refuses it when its fencing token is stale and the engine checks tokens. */
+	private handleOrder(order: EngineOrder, h: Hapi.ResponseToolkit): Hapi.ResponseObject | {accepted: boolean; highestFencingToken: number} {
 		const isStale = order.fencingToken < this.highestFencingToken;
 		const isRefused = this.settings.checksFencing && isStale;
 		this.orders.push({...order, atMs: Date.now(), accepted: !isRefused});
@@ -289,11 +296,12 @@
 		return {accepted: true, highestFencingToken: this.highestFencingToken};
 	}
 
+	/** Downloads the weights of a model, then loads it, unless the VM is powered off or replaced meanwhile. */
 	private async loadModel(model: string | undefined): Promise<void> {
-		const bootOf = this.id;
+		const bootId = this.id;
 		this.model = undefined;
 		const {weightsUrl} = this.settings;
-		const isSameBoot = () => this.powered && this.id === bootOf;
+		const isSameBoot = () => this.isPowered && this.id === bootId;
 		while (isSameBoot()) {
 			if (weightsUrl === undefined || model === undefined) {
 				break;
@@ -304,9 +312,9 @@
 				await fetchJson({method: 'GET', url: `${weightsUrl}/weights/${model}`});
 				break;
 			} catch {
-				// Rate-limited or unreachable: the engine keeps trying until its VM goes.
+				// Rate-limited or unreachable: the engine retries until its VM is powered off or replaced.
 				// eslint-disable-next-line no-await-in-loop
-				await delay(weightRetryMs);
+				await delay(weightRetryDelayMs);
 			}
 		}
 
@@ -316,26 +324,27 @@
 		}
 	}
 
+	/** Powers the simulated VM on or off; in both cases it loses its sequences, caches, role and highest fencing token. */
 	private setPower(isOn: boolean, id: string, model: string | undefined): void {
-		this.batch.clear();
-		this.batch = new Batch(this.settings);
-		this.powered = isOn;
+		this.scheduler.clear();
+		this.scheduler = new BatchScheduler(this.settings);
+		this.isPowered = isOn;
 		this.id = id;
 		this.model = model;
 		this.role = EngineRole.Serving;
 		this.highestFencingToken = -1;
-		this.reported = this.measureLoad();
+		this.reportedLoad = this.measureLoad();
 		if (!isOn) {
 			this.server.listener.closeAllConnections();
 		}
 
-		log.info('power switched.', {id, on: isOn});
+		log.info('VM power changed.', {id, on: isOn});
 	}
 }
 
 /**
- * Runs the engine stand-in until the signal aborts; then it refuses new work and
- * finishes the running sequences before it exits.
+ * Runs the engine stand-in until the signal aborts; then it refuses new requests and
+ * finishes the running and waiting sequences before it returns.
  *
  * @throws {TransportError} When its port cannot be bound.
  */
--- a/src/standins/faults.ts
+++ b/src/standins/faults.ts
@@ -1,16 +1,17 @@
 /**
- * Shared pieces of the stand-ins: the `/admin/faults` route that tests and the bench
- * use to cut or slow a stand-in, and the wait that applies a slow mode.
+ * Fault injection that the stand-ins share: the `/admin/faults` routes with which tests and
+ * the bench make a stand-in fail or slow down, and the delay of slowed answers.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import type Hapi from '@hapi/hapi';
 
 /**
- * Adds `POST /admin/faults` (merge the posted switches) and `GET /admin/faults`.
+ * Adds `POST /admin/faults`, which merges the posted switches into the current ones, and
+ * `GET /admin/faults`, which returns them.
  *
- * @param faults The live switches; the route mutates this object.
+ * @param faults The current fault switches; the route mutates this object.
  */
-export function addFaultRoute<T extends Record<string, unknown>>(server: Hapi.Server, faults: T): void {
+export function addFaultRoutes<T extends Record<string, unknown>>(server: Hapi.Server, faults: T): void {
 	server.route({
 		method: 'POST',
 		path: '/admin/faults',
@@ -22,8 +23,8 @@
 	server.route({method: 'GET', path: '/admin/faults', handler: () => faults});
 }
 
-/** Waits the configured slow-mode delay, if any. */
-export async function applySlowMode(slowMs: number | undefined): Promise<void> {
+/** Waits for the delay that the fault switch `slowMs` sets, if any, in milliseconds. */
+export async function delayAnswer(slowMs: number | undefined): Promise<void> {
 	if (slowMs !== undefined && slowMs > 0) {
 		await delay(slowMs);
 	}
--- a/src/standins/log.ts
+++ b/src/standins/log.ts
@@ -1,8 +1,7 @@
 /**
- * Stand-in for the platform's append-only log service: named streams of JSON
- * records with offsets, limited retention, an append-rate limit, and fault modes
- * (outage, slow answers, answers lost after the append took effect).
- * Its HTTP shapes are in `protocol/platform-log.ts`.
+ * Stand-in for the platform's append-only log service: named streams of JSON records with
+ * offsets, limited retention, an append rate limit, and fault modes (outage, slow answers,
+ * answers lost after the append took effect). Its HTTP API is in `protocol/platform-log.ts`.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {
@@ -15,56 +14,61 @@
 import {createLogger} from '../log.js';
 import {waitForAbort} from '../abort.js';
 import {type LogStandinSettings} from './options.js';
-import {addFaultRoute, applySlowMode} from './faults.js';
+import {addFaultRoutes, delayAnswer} from './faults.js';
 
 const log = createLogger('standin-log');
 
+/** Maximum number of records that one read returns. */
 const maxReadRecords = 1000;
+/** Longest time that a read waits for an append, in milliseconds. */
 const maxWaitMs = 30_000;
 
-/** One stream: records kept and the offset of the first. */
+/** One stream: the retained records, the offset of the first one, and the readers that wait for an append. */
 class Stream {
 	records: LogRecord[] = [];
 	start = 0;
-	readonly waiters = new Set<() => void>();
+	readonly wakeCallbacks = new Set<() => void>();
 
 	get end(): number {
 		return this.start + this.records.length;
 	}
 
+	/** Appends values, wakes the waiting readers, and returns the offset of the first value. */
 	append(values: unknown[], nowMs: number): number {
 		const first = this.end;
 		for (const value of values) {
 			this.records.push({offset: this.end, appendedAtMs: nowMs, value});
 		}
 
-		for (const wake of this.waiters) {
+		for (const wake of this.wakeCallbacks) {
 			wake();
 		}
 
 		return first;
 	}
 
+	/** Drops the records that are older than the retention time. */
 	expire(nowMs: number, retentionMs: number): void {
-		let drop = 0;
-		while (drop < this.records.length && nowMs - this.records[drop].appendedAtMs > retentionMs) {
-			drop++;
+		let expiredCount = 0;
+		while (expiredCount < this.records.length && nowMs - this.records[expiredCount].appendedAtMs > retentionMs) {
+			expiredCount++;
 		}
 
-		if (drop > 0) {
-			this.records = this.records.slice(drop);
-			this.start += drop;
+		if (expiredCount > 0) {
+			this.records = this.records.slice(expiredCount);
+			this.start += expiredCount;
 		}
 	}
 
+	/** Returns up to `limit` records from an offset on. */
 	read(from: number, limit: number): ReadAnswer {
 		const index = Math.max(0, from - this.start);
 		return {start: this.start, end: this.end, records: this.records.slice(index, index + limit)};
 	}
 }
 
-/** A token bucket that refills `perSecond` tokens a second, up to one second's worth. */
-class AppendBudget {
+/** A token bucket that refills `perSecond` tokens per second and holds at most as many. */
+class AppendRateLimiter {
 	private tokens: number;
 	private lastMs: number;
 
@@ -76,7 +80,8 @@
 		this.lastMs = nowMs;
 	}
 
-	take(nowMs: number): boolean {
+	/** Takes one token; returns false when there is none. */
+	tryTake(nowMs: number): boolean {
 		this.tokens = Math.min(this.perSecond, this.tokens + (((nowMs - this.lastMs) * this.perSecond) / 1000));
 		this.lastMs = nowMs;
 		if (this.tokens < 1) {
@@ -96,11 +101,11 @@
 export async function runLogStandin(settings: LogStandinSettings, signal: AbortSignal): Promise<void> {
 	const streams = new Map<string, Stream>();
 	const faults: LogFaults = {};
-	const budget = new AppendBudget(settings.appendsPerSecond, Date.now());
+	const rateLimiter = new AppendRateLimiter(settings.appendsPerSecond, Date.now());
 	let appends = 0;
 	let refusedAppends = 0;
 	let lostAnswers = 0;
-	const streamOf = (name: string) => {
+	const getStream = (name: string) => {
 		let stream = streams.get(name);
 		if (!stream) {
 			stream = new Stream();
@@ -118,13 +123,13 @@
 		lostAnswers,
 		streams: Object.fromEntries([...streams].map(([name, stream]) => [name, {start: stream.start, end: stream.end}])),
 	}));
-	addFaultRoute(server, faults);
+	addFaultRoutes(server, faults);
 	server.ext('onPreHandler', async (request, h) => {
 		if (!request.path.startsWith('/streams/')) {
 			return h.continue;
 		}
 
-		await applySlowMode(faults.slowMs);
+		await delayAnswer(faults.slowMs);
 		const isRefused = faults.refuseClients?.some(client => headerValue(request, 'user-agent') === `sesametally/${client}`);
 		return faults.outage === true || isRefused === true ? h.response({error: 'outage'}).code(503).takeover() : h.continue;
 	});
@@ -134,18 +139,18 @@
 		path: '/streams/{stream}/records',
 		handler(request, h) {
 			const nowMs = Date.now();
-			if (!budget.take(nowMs)) {
+			if (!rateLimiter.tryTake(nowMs)) {
 				refusedAppends++;
 				return h.response({error: 'append rate exceeded'}).code(429).header('retry-after', '1');
 			}
 
 			const {records} = request.payload as AppendRequest;
-			const stream = streamOf(request.params.stream as string);
+			const stream = getStream(request.params.stream as string);
 			const firstOffset = stream.append(records, nowMs);
 			appends++;
 			if (faults.loseAnswers !== undefined && Math.random() < faults.loseAnswers) {
 				lostAnswers++;
-				// The append took effect; the caller only sees the connection drop.
+				// The append took effect, but the caller only sees a dropped connection.
 				request.raw.req.socket.destroy();
 				return h.abandon;
 			}
@@ -158,7 +163,7 @@
 		method: 'GET',
 		path: '/streams/{stream}/records',
 		async handler(request, h) {
-			const stream = streamOf(request.params.stream as string);
+			const stream = getStream(request.params.stream as string);
 			stream.expire(Date.now(), settings.retentionMs);
 			const from = Number(request.query.from ?? 0);
 			const limit = Math.min(Number(request.query.limit ?? maxReadRecords), maxReadRecords);
@@ -182,18 +187,19 @@
 	log.info('stopped.');
 }
 
+/** Waits until the next append to a stream, for at most `waitMs` or until the signal aborts. */
 async function waitForAppend(stream: Stream, waitMs: number, signal: AbortSignal): Promise<void> {
-	const woken = new AbortController();
+	const wakeController = new AbortController();
 	const wake = () => {
-		woken.abort();
+		wakeController.abort();
 	};
 
-	stream.waiters.add(wake);
+	stream.wakeCallbacks.add(wake);
 	try {
-		await delay(waitMs, undefined, {signal: AbortSignal.any([woken.signal, signal])});
+		await delay(waitMs, undefined, {signal: AbortSignal.any([wakeController.signal, signal])});
 	} catch {
-		// Woken by an append or by shutdown: either way the read goes on.
+		// An append or the shutdown ended the wait; the read continues in both cases.
 	} finally {
-		stream.waiters.delete(wake);
+		stream.wakeCallbacks.delete(wake);
 	}
 }
--- a/src/standins/options.ts
+++ b/src/standins/options.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of the stand-ins and their schemas.
+ * The settings of the stand-ins and their JSON schemas.
  */
 import {type ValidateFunction} from 'ajv';
 import {type Price, type VmEntry} from '../protocol/cloud-api.js';
@@ -12,7 +12,9 @@
 export type LogStandinSettings = {
 	listen: Listen;
 	failureDomain: string;
+	/** How long records are retained, in milliseconds. */
 	retentionMs: number;
+	/** Rate limit on appends. */
 	appendsPerSecond: number;
 };
 
@@ -21,24 +23,26 @@
 	id: string;
 	listen: Listen;
 	failureDomain: string;
-	/** The model loaded at the start; none on a VM that awaits orders. */
+	/** The model loaded at the start; without it the engine loads one when it is ordered to. */
 	model?: string;
-	/** Time per output token, the engine's clock tick. */
+	/** Time per output token in milliseconds: the length of a scheduler tick. */
 	tpotMs: number;
-	/** Prompt tokens prefilled per tick. */
+	/** Prompt tokens that a sequence prefills per tick. */
 	prefillTokensPerTick: number;
+	/** Maximum number of running sequences. */
 	maxBatch: number;
-	/** Prefix cache size, in blocks of `blockTokens`. */
+	/** Size of the prefix cache, in blocks of `blockTokens`. */
 	cacheBlocks: number;
 	blockTokens: number;
-	/** How stale the reported load is. */
+	/** Interval at which the reported load is refreshed, in milliseconds; 0 refreshes it at each tick. */
 	loadLagMs: number;
+	/** Whether orders with an old fencing token are refused. */
 	checksFencing: boolean;
-	/** How long the KV cache of an abandoned or exported request is kept. */
+	/** How long the KV cache of an abandoned or exported request is held, in milliseconds. */
 	kvHoldMs: number;
-	/** Where weights come from; without it a model order takes effect at once. */
+	/** URL of the weight store; without it an ordered model is loaded at once. */
 	weightsUrl?: string;
-	/** False for a slot on which no VM runs yet. */
+	/** Whether a VM runs on the slot from the start. */
 	powered: boolean;
 };
 
@@ -47,6 +51,7 @@
 	id: string;
 	listen: Listen;
 	failureDomain: string;
+	/** Time that a call takes to execute, in milliseconds. */
 	latencyMs: number;
 };
 
@@ -54,14 +59,14 @@
 export type CloudStandinSettings = {
 	listen: Listen;
 	failureDomain: string;
-	/** Warning before a reclaim takes effect. */
+	/** Time between the notice of a reclaim and the stop of the VM, in milliseconds. */
 	reclaimNoticeMs: number;
-	/** Time a VM takes to boot. */
+	/** Time that a VM takes to boot, in milliseconds. */
 	bootMs: number;
 	prices: Price[];
 	/** VMs that run from the start. */
 	vms: Array<Pick<VmEntry, 'name' | 'url' | 'failureDomain' | 'machineClass' | 'reclaimable'>>;
-	/** Places for VMs: engine processes, those of `vms` among them. */
+	/** Engine processes that can run a VM, including those of `vms`. */
 	slots: Array<{url: string; failureDomain: string}>;
 };
 
@@ -70,7 +75,7 @@
 	listen: Listen;
 	failureDomain: string;
 	cloudUrl: string;
-	/** How far behind the truth it is served. */
+	/** How far the served list lags behind the cloud's, in milliseconds. */
 	lagMs: number;
 };
 
@@ -78,6 +83,7 @@
 export type WeightsStandinSettings = {
 	listen: Listen;
 	failureDomain: string;
+	/** Rate limit on weight downloads. */
 	downloadsPerSecond: number;
 };
 
@@ -127,7 +133,7 @@
 	additionalProperties: false,
 };
 
-const vmSchema = {
+const vmEntrySchema = {
 	type: 'object',
 	properties: {
 		name: idSchema,
@@ -162,7 +168,7 @@
 				additionalProperties: false,
 			},
 		},
-		vms: {type: 'array', default: [], items: vmSchema},
+		vms: {type: 'array', default: [], items: vmEntrySchema},
 		slots: {
 			type: 'array',
 			default: [],
@@ -201,7 +207,7 @@
 	additionalProperties: false,
 };
 
-/** The validators of the stand-ins' settings, by stand-in. */
+/** The settings validators of the stand-ins, keyed by the stand-in's name on the command line. */
 export const standinValidators = {
 	log: compileCheck<LogStandinSettings>(logStandinSchema, 'log settings').validate,
 	engine: compileCheck<EngineStandinSettings>(engineStandinSchema, 'engine settings').validate,
--- a/src/standins/service.ts
+++ b/src/standins/service.ts
@@ -1,9 +1,9 @@
 /**
- * Stand-in for a plain backend service whose calls may not be repeated. It counts
- * executions per idempotency key so that a test can prove at-most-once; a fault
- * switch loses the answer after the call has executed.
+ * Stand-in for a plain backend service whose calls must not be repeated. It counts
+ * executions per idempotency key, so that tests can check that each call is executed at most
+ * once. A fault switch drops the connection after the call was executed.
  *
- * - `POST /v1/{call}` with header `idempotency-key`: 200 `{call, key, executions}`.
+ * - `POST /v1/{call}` with header `idempotency-key`: 200 `{call, key, executions, by}`, where `by` is the stand-in's id.
  * - `GET /executions`: `{[key]: count}`.
  */
 import {setTimeout as delay} from 'node:timers/promises';
@@ -14,14 +14,15 @@
 import {createLogger} from '../log.js';
 import {waitForAbort} from '../abort.js';
 import {type ServiceStandinSettings} from './options.js';
-import {addFaultRoute} from './faults.js';
+import {addFaultRoutes} from './faults.js';
 
 const log = createLogger('standin-service');
 
+/** Fault switches of the service stand-in. */
 type ServiceFaults = {
-	/** Answers of executed calls are lost (the connection drops). */
+	/** Calls are executed, but the connection is dropped before the answer. */
 	loseAnswers?: boolean;
-	/** Calls answer 503 before executing. */
+	/** Calls are refused with 503 and not executed. */
 	refuse?: boolean;
 };
 
@@ -34,7 +35,7 @@
 	const executions = new Map<string, number>();
 	const faults: ServiceFaults = {};
 	const server = createObservedServer(settings.listen, createRegistry(), () => ({id: settings.id, executions: Object.fromEntries(executions), faults}));
-	addFaultRoute(server, faults);
+	addFaultRoutes(server, faults);
 	server.route({
 		method: 'POST',
 		path: '/v1/{call}',
--- a/src/standins/vm-list.ts
+++ b/src/standins/vm-list.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for the platform's lagging VM list (see `protocol/cloud-api.ts`): it reads
- * the cloud stand-in and serves what it read `lagMs` ago.
+ * Stand-in for the platform's lagging VM list (see `protocol/cloud-api.ts`): it polls the VMs
+ * of the cloud stand-in and serves the list as it was `lagMs` ago.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type VmEntry} from '../protocol/cloud-api.js';
@@ -9,10 +9,10 @@
 import {createRegistry} from '../transport/process-registry.js';
 import {createLogger} from '../log.js';
 import {type VmListStandinSettings} from './options.js';
-import {addFaultRoute} from './faults.js';
+import {addFaultRoutes} from './faults.js';
 
 const log = createLogger('standin-vms');
-const readEveryMs = 100;
+const pollIntervalMs = 100;
 
 /**
  * Runs the VM list stand-in until the signal aborts.
@@ -21,15 +21,15 @@
  */
 export async function runVmListStandin(settings: VmListStandinSettings, signal: AbortSignal): Promise<void> {
 	const faults: {outage?: boolean} = {};
-	let history: Array<{atMs: number; vms: VmEntry[]}> = [];
-	const server = createObservedServer(settings.listen, createRegistry(), () => ({faults, snapshots: history.length}));
-	addFaultRoute(server, faults);
+	let snapshots: Array<{atMs: number; vms: VmEntry[]}> = [];
+	const server = createObservedServer(settings.listen, createRegistry(), () => ({faults, snapshots: snapshots.length}));
+	addFaultRoutes(server, faults);
 	server.route({
 		method: 'GET',
 		path: '/vms',
 		handler(_request, h) {
 			const asOfMs = Date.now() - settings.lagMs;
-			const served = history.findLast(snapshot => snapshot.atMs <= asOfMs);
+			const served = snapshots.findLast(snapshot => snapshot.atMs <= asOfMs);
 			const isMissing = faults.outage === true || served === undefined;
 			return isMissing ? h.response({error: 'no list'}).code(503) : served.vms;
 		},
@@ -43,14 +43,14 @@
 				method: 'GET', url: `${settings.cloudUrl}/vms`, timeoutMs: 1000, signal,
 			});
 			const nowMs = Date.now();
-			history.push({atMs: nowMs, vms});
-			history = history.filter(snapshot => snapshot.atMs > nowMs - settings.lagMs - 1000);
+			snapshots.push({atMs: nowMs, vms});
+			snapshots = snapshots.filter(snapshot => snapshot.atMs > nowMs - settings.lagMs - 1000);
 		} catch {
-			// The cloud is down: the list goes on showing what it read before.
+			// The cloud stand-in is unreachable: the earlier snapshots are still served.
 		}
 
 		// eslint-disable-next-line no-await-in-loop
-		await delay(readEveryMs, undefined, {signal}).catch(() => undefined);
+		await delay(pollIntervalMs, undefined, {signal}).catch(() => undefined);
 	}
 
 	await server.stop({timeout: 1000});
--- a/src/standins/weights.ts
+++ b/src/standins/weights.ts
@@ -1,6 +1,6 @@
 /**
- * Stand-in for the rate-limited weight store: `GET /weights/{model}` answers 429 over
- * `downloadsPerSecond`.
+ * Stand-in for the rate-limited weight store: `GET /weights/{model}` answers 429 when there
+ * are more than `downloadsPerSecond` downloads in a second.
  */
 import {createObservedServer, startServer} from '../transport/http-server.js';
 import {createRegistry} from '../transport/process-registry.js';
