--- a/src/bench/load.ts
+++ b/src/bench/arrivals.ts
@@ -1,27 +1,27 @@
 /**
- * The load of an experiment, from seeded random numbers: when each request arrives,
- * whose it is and what it asks. The same seed gives the same load.
+ * Generates the load of an experiment from seeded random numbers: the time, API key and
+ * content of each request. The same seed generates the same load.
  */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {type Experiment} from './experiment.js';
 
-const words = ['contract', 'offtake', 'assay', 'shipment', 'terms', 'driver', 'gate', 'booking', 'lease', 'summary', 'price', 'copper', 'space', 'ticket', 'resident'];
+const vocabulary = ['contract', 'offtake', 'assay', 'shipment', 'terms', 'driver', 'gate', 'booking', 'lease', 'summary', 'price', 'copper', 'space', 'ticket', 'resident'];
 
 /** One request to send. */
 export type Arrival = {
-	/** When it is due, in milliseconds from the start. */
+	/** When the request is due, in milliseconds from the start. */
 	atMs: number;
 	apiKey: string;
-	/** The key of a non-idempotent service call; absent for a completion. */
+	/** The idempotency key of a service call; absent for a completion. */
 	idempotencyKey?: string;
 	prompt: string;
 	maxTokens: number;
 };
 
-/** Yields an experiment's requests in order: Poisson arrivals at its rate. */
-export function * arrivals(experiment: Experiment): Generator<Arrival> {
+/** Yields the requests of an experiment in order of time: Poisson arrivals at `ratePerSecond`. */
+export function * generateArrivals(experiment: Experiment): Generator<Arrival> {
 	const rng = xoroshiro128plus(experiment.seed);
 	let totalShare = 0;
 	for (const account of experiment.accounts) {
@@ -29,10 +29,10 @@
 	}
 
 	const pickApiKey = () => {
-		let point = uniformFloat64(rng) * totalShare;
+		let remainingShare = uniformFloat64(rng) * totalShare;
 		for (const account of experiment.accounts) {
-			point -= account.share;
-			if (point < 0) {
+			remainingShare -= account.share;
+			if (remainingShare < 0) {
 				return account.apiKey;
 			}
 		}
@@ -42,8 +42,8 @@
 
 	const makePrompt = () => {
 		const length = uniformInt(rng, experiment.promptWords.min, experiment.promptWords.max);
-		const shared = Math.min(experiment.sharedPrefixWords ?? 0, length);
-		return Array.from({length}, (_, index) => index < shared ? words[index % words.length] : words[uniformInt(rng, 0, words.length - 1)]).join(' ');
+		const sharedLength = Math.min(experiment.sharedPrefixWords ?? 0, length);
+		return Array.from({length}, (_, index) => index < sharedLength ? vocabulary[index % vocabulary.length] : vocabulary[uniformInt(rng, 0, vocabulary.length - 1)]).join(' ');
 	};
 
 	let atMs = 0;
--- a/src/bench/balancer.ts
+++ b/src/bench/balancer.ts
@@ -1,44 +1,44 @@
 /**
- * Stands for the platform's balancer in front of the entry VMs: it asks each gateway
- * whether it is ready and spreads requests over those that are.
+ * Stand-in for the platform's load balancer in front of the gateways' VMs: it polls the
+ * readiness of each gateway and distributes requests over the ready ones.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {requestJson} from '../transport/http-client.js';
 
-/** How often readiness is asked, in milliseconds. */
-export const readyPollMs = 100;
+/** Interval at which the readiness of a gateway is polled, in milliseconds. */
+export const readinessPollMs = 100;
 
-/** A round-robin balancer over gateway URLs. */
-export class Balancer {
-	private turn = 0;
-	private readonly ready: Set<string>;
+/** A round-robin load balancer over gateway URLs. */
+export class RoundRobinBalancer {
+	private nextIndex = 0;
+	private readonly readyGateways: Set<string>;
 
 	constructor(private readonly gateways: string[]) {
-		this.ready = new Set(gateways);
+		this.readyGateways = new Set(gateways);
 	}
 
-	/** The gateway for the next request; any of them when none is ready. */
-	next(): string {
-		const candidates = this.ready.size > 0 ? this.gateways.filter(url => this.ready.has(url)) : this.gateways;
-		return candidates[this.turn++ % candidates.length];
+	/** Returns the gateway for the next request; when none is ready, it takes turns over all of them. */
+	nextGateway(): string {
+		const candidates = this.readyGateways.size > 0 ? this.gateways.filter(url => this.readyGateways.has(url)) : this.gateways;
+		return candidates[this.nextIndex++ % candidates.length];
 	}
 
-	/** Keeps asking until the signal aborts. */
+	/** Polls the readiness of all gateways until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
-		await Promise.all(this.gateways.map(async url => this.watch(url, signal)));
+		await Promise.all(this.gateways.map(async url => this.pollReadiness(url, signal)));
 	}
 
-	private async watch(url: string, signal: AbortSignal): Promise<void> {
+	private async pollReadiness(url: string, signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop
 			if (await isReady(url)) {
-				this.ready.add(url);
+				this.readyGateways.add(url);
 			} else {
-				this.ready.delete(url);
+				this.readyGateways.delete(url);
 			}
 
 			// eslint-disable-next-line no-await-in-loop
-			await delay(readyPollMs, undefined, {signal}).catch(() => undefined);
+			await delay(readinessPollMs, undefined, {signal}).catch(() => undefined);
 		}
 	}
 }
@@ -46,7 +46,7 @@
 async function isReady(url: string): Promise<boolean> {
 	try {
 		const answer = await requestJson({method: 'GET', url: `${url}/ready`, timeoutMs: 500});
-		// An engine driven directly has no such route.
+		// An engine that the bench addresses directly has no `/ready` route and answers 404.
 		return answer.statusCode !== 503;
 	} catch {
 		return false;
--- a/src/bench/calls.ts
+++ b/src/bench/calls.ts
@@ -1,34 +1,37 @@
 /**
- * The calls the bench makes as a caller would, and how each counts.
+ * The calls that the bench makes as a client, and how their outcomes are counted.
  */
 import {requestJson, requestStream} from '../transport/http-client.js';
 import {readEvents} from '../transport/sse.js';
 import {completionText} from '../standins/engine-output.js';
 import {type LatencyHistogram} from './histogram.js';
 
-/** How the calls of an experiment ended. */
-export type Counts = {
+/** The number of calls sent and of calls with each outcome. */
+export type OutcomeCounts = {
 	sent: number;
-	/** Completed with the whole, correct answer. */
+	/** Completed with the whole and correct answer. */
 	whole: number;
 	/** Completed with a wrong or partial answer. */
 	broken: number;
+	/** Refused with the outcome `not-run`: the call was not executed. */
 	refused: number;
+	/** Ended with an error that leaves open whether the call was executed. */
 	unknownOutcome: number;
+	/** Ended in any other way. */
 	failed: number;
 };
 
-/** One call the bench makes, to a gateway or straight to an engine. */
-type Call = {gateway: string; apiKey: string};
-/** A completion to ask for. */
-export type CompletionCall = Call & {model: string; prompt: string; maxTokens: number};
-/** A service call to make. */
-export type ServiceCall = Call & {service: string; key: string};
-/** Where the figures of a completion go. */
-export type Sinks = {ttft: LatencyHistogram; itl: LatencyHistogram; counts: Counts};
+/** Where a call is sent: the URL of a gateway or of an engine, and the API key. */
+type CallTarget = {gateway: string; apiKey: string};
+/** A completion request. */
+export type CompletionCall = CallTarget & {model: string; prompt: string; maxTokens: number};
+/** A call to a plain service. */
+export type ServiceCall = CallTarget & {service: string; key: string};
+/** The measurements of an experiment: time to first token, inter-token latency and outcomes. */
+export type Measurements = {ttft: LatencyHistogram; itl: LatencyHistogram; counts: OutcomeCounts};
 
-/** Streams one completion and checks its answer byte for byte. */
-export async function streamCompletion({gateway, apiKey, model, prompt, maxTokens}: CompletionCall, sinks: Sinks, signal: AbortSignal): Promise<void> {
+/** Streams one completion, records its latencies, and checks the answer byte for byte. */
+export async function streamCompletion({gateway, apiKey, model, prompt, maxTokens}: CompletionCall, measurements: Measurements, signal: AbortSignal): Promise<void> {
 	const sentMs = performance.now();
 	try {
 		const response = await requestStream({
@@ -45,9 +48,9 @@
 			response.resume();
 			const outcome = response.headers['x-sesametally-outcome'];
 			if (outcome === 'not-run') {
-				sinks.counts.refused++;
+				measurements.counts.refused++;
 			} else {
-				sinks.counts.failed++;
+				measurements.counts.failed++;
 			}
 
 			return;
@@ -55,7 +58,7 @@
 
 		let text = '';
 		let lastMs = sentMs;
-		let unknown = false;
+		let isOutcomeUnknown = false;
 		for await (const data of readEvents(response)) {
 			if (data === '[DONE]') {
 				break;
@@ -63,35 +66,35 @@
 
 			const event = JSON.parse(data) as {choices?: Array<{text: string}>; error?: unknown};
 			if (event.error !== undefined) {
-				unknown = true;
+				isOutcomeUnknown = true;
 				break;
 			}
 
 			const nowMs = performance.now();
 			if (text === '') {
-				sinks.ttft.record(nowMs - sentMs);
+				measurements.ttft.record(nowMs - sentMs);
 			} else {
-				sinks.itl.record(nowMs - lastMs);
+				measurements.itl.record(nowMs - lastMs);
 			}
 
 			lastMs = nowMs;
 			text += event.choices![0].text;
 		}
 
-		if (unknown) {
-			sinks.counts.unknownOutcome++;
+		if (isOutcomeUnknown) {
+			measurements.counts.unknownOutcome++;
 		} else if (text === completionText(prompt, maxTokens)) {
-			sinks.counts.whole++;
+			measurements.counts.whole++;
 		} else {
-			sinks.counts.broken++;
+			measurements.counts.broken++;
 		}
 	} catch {
-		sinks.counts.failed++;
+		measurements.counts.failed++;
 	}
 }
 
-/** Makes one non-idempotent call to a plain service. */
-export async function callService({gateway, apiKey, service, key}: ServiceCall, counts: Counts): Promise<void> {
+/** Makes one non-idempotent call to a plain service and counts its outcome. */
+export async function callService({gateway, apiKey, service, key}: ServiceCall, counts: OutcomeCounts): Promise<void> {
 	try {
 		const answer = await requestJson({
 			method: 'POST',
--- a/src/bench/experiment.ts
+++ b/src/bench/experiment.ts
@@ -1,28 +1,29 @@
 /**
- * The experiment file of `sesametally bench`: the load to offer, the mix of calls,
- * and fault steps at set times. Checked against its schema with `ajv`.
+ * The experiment file of `sesametally bench`: the load to generate, the mix of calls, and
+ * fault steps at given times. The file is checked against a JSON schema.
  */
 import {readFileSync} from 'node:fs';
 import {compileCheck} from '../protocol/schema.js';
 
-/** The kinds of fault step. */
+/** The actions of fault steps. */
 export enum FaultAction {
-	/** SIGKILL a process by id. */
+	/** Sends SIGKILL to the process `pid`. */
 	Kill = 'kill',
-	/** SIGSTOP a process by id. */
+	/** Sends SIGSTOP to the process `pid`. */
 	Stop = 'stop',
-	/** SIGCONT a process by id. */
+	/** Sends SIGCONT to the process `pid`. */
 	Continue = 'continue',
-	/** SIGTERM a process by id: a planned stop. */
+	/** Sends SIGTERM to the process `pid`: a planned stop. */
 	Terminate = 'terminate',
-	/** Post fault switches to a stand-in's `/admin/faults`. */
-	Switch = 'switch',
-	/** Announce a reclaim of a failure domain on the cloud stand-in. */
+	/** Posts the switches `faults` to `/admin/faults` of the stand-in at `url`. */
+	SetFaults = 'switch',
+	/** Announces the reclaim of `failureDomain` on the cloud stand-in at `url`. */
 	Reclaim = 'reclaim',
 }
 
-/** One fault step. */
+/** One fault step; which of the optional fields it needs depends on its action. */
 export type FaultStep = {
+	/** Time from the start of the experiment, in milliseconds. */
 	atMs: number;
 	action: FaultAction;
 	pid?: number;
@@ -31,12 +32,13 @@
 	failureDomain?: string;
 };
 
-/** An experiment. */
+/** An experiment; durations in milliseconds. */
 export type Experiment = {
+	/** Seed of the random numbers; the same seed generates the same load. */
 	seed: number;
-	/** Caller URLs of the gateways; requests go to them in turn. */
+	/** Client-facing URLs of the gateways, or of engines; requests are distributed round-robin. */
 	gateways: string[];
-	/** Admin URLs of the gateways, for reading their state after the run. */
+	/** Admin URLs of the gateways, whose state is read after the load has ended. */
 	gatewayAdmins?: string[];
 	/** API key of each client account in the mix, with its share of requests. */
 	accounts: Array<{apiKey: string; share: number}>;
@@ -46,15 +48,15 @@
 	durationMs: number;
 	maxRequests: number;
 	promptWords: {min: number; max: number};
-	/** Shared prefix length in words, to exercise the prefix cache; 0 for none. */
+	/** Number of words at the start of each prompt that all prompts share, to exercise the prefix cache; 0 by default. */
 	sharedPrefixWords?: number;
 	maxTokens: {min: number; max: number};
-	/** Share of requests that go to a plain service as non-idempotent calls. */
+	/** Share, from 0 to 1, of requests that are non-idempotent calls to `service`. */
 	nonIdempotentShare?: number;
 	service?: string;
-	/** Cloud stand-in URL, for prices. */
+	/** URL of the cloud stand-in, from which prices are read. */
 	cloud?: string;
-	/** VMs in use, by failure domain and machine class, for the cost figure. */
+	/** Numbers of VMs in use, from which the cost per hour is calculated. */
 	vms?: Array<{failureDomain: string; machineClass: string; reclaimable: boolean; count: number}>;
 	faults?: FaultStep[];
 };
@@ -66,7 +68,11 @@
 	additionalProperties: false,
 };
 
-/** Checks an experiment. */
+/**
+ * Checks an experiment against its schema.
+ *
+ * @throws {ProtocolError} When it does not match the schema.
+ */
 export const checkExperiment = compileCheck<Experiment>({
 	type: 'object',
 	properties: {
@@ -131,7 +137,7 @@
 /**
  * Reads and checks an experiment file.
  *
- * @throws {ProtocolError} When the file fails its schema.
+ * @throws {ProtocolError} When its content does not match the schema.
  */
 export function loadExperiment(file: string): Experiment {
 	return checkExperiment(JSON.parse(readFileSync(file, 'utf8')));
