--- a/src/bench/calls.ts
+++ b/src/bench/calls.ts
@@ -57,7 +57,7 @@
 		}
 
 		let text = '';
-		let lastMs = sentMs;
+		let lastTokenMs = sentMs;
 		let isOutcomeUnknown = false;
 		for await (const data of readEvents(response)) {
 			if (data === '[DONE]') {
@@ -74,10 +74,10 @@
 			if (text === '') {
 				measurements.ttft.record(nowMs - sentMs);
 			} else {
-				measurements.itl.record(nowMs - lastMs);
+				measurements.itl.record(nowMs - lastTokenMs);
 			}
 
-			lastMs = nowMs;
+			lastTokenMs = nowMs;
 			text += event.choices![0].text;
 		}
 
--- a/src/bench/fault-steps.ts
+++ b/src/bench/fault-steps.ts
@@ -14,9 +14,9 @@
 		[FaultAction.Terminate]: 'SIGTERM',
 	};
 	try {
-		const name = signalsByAction[step.action];
-		if (name !== undefined) {
-			process.kill(step.pid!, name);
+		const signalName = signalsByAction[step.action];
+		if (signalName !== undefined) {
+			process.kill(step.pid!, signalName);
 		} else if (step.action === FaultAction.SetFaults) {
 			await requestJson({method: 'POST', url: `${step.url!}/admin/faults`, payload: step.faults ?? {}});
 		} else if (step.action === FaultAction.Reclaim) {
--- a/src/bench/run.ts
+++ b/src/bench/run.ts
@@ -104,18 +104,18 @@
 }
 
 async function fetchRecomputedTokens(adminUrls: string[]): Promise<number> {
-	let total = 0;
+	let totalTokens = 0;
 	for (const adminUrl of adminUrls) {
 		try {
 			// eslint-disable-next-line no-await-in-loop
 			const dump = await requestJson<{state: {completions?: {recomputedTokens: number}}}>({method: 'GET', url: `${adminUrl}/debug/state`, timeoutMs: 2000});
-			total += dump.body.state.completions?.recomputedTokens ?? 0;
+			totalTokens += dump.body.state.completions?.recomputedTokens ?? 0;
 		} catch {
 			// A gateway that the experiment killed does not answer; its count is lost.
 		}
 	}
 
-	return total;
+	return totalTokens;
 }
 
 async function fetchCostPerHour(experiment: Experiment): Promise<number | undefined> {
@@ -124,13 +124,13 @@
 	}
 
 	const answer = await requestJson<Price[]>({method: 'GET', url: `${experiment.cloud}/prices`});
-	let total = 0;
+	let totalPerHour = 0;
 	for (const vm of experiment.vms) {
 		const price = answer.body.find(entry => entry.failureDomain === vm.failureDomain && entry.machineClass === vm.machineClass && entry.reclaimable === vm.reclaimable);
-		total += (price?.perHour ?? 0) * vm.count;
+		totalPerHour += (price?.perHour ?? 0) * vm.count;
 	}
 
-	return total;
+	return totalPerHour;
 }
 
 /** Returns a plain-text summary of a report. */
--- a/src/standins/cloud.ts
+++ b/src/standins/cloud.ts
@@ -100,8 +100,8 @@
 	/** Announces the reclaim of every reclaimable VM of a failure domain and schedules their stop. */
 	announceReclaim(failureDomain: string): ReclaimNotice[] {
 		const nowMs = Date.now();
-		const leaving = this.listVms().filter(vm => vm.failureDomain === failureDomain && vm.reclaimable && vm.state !== VmState.Leaving);
-		const announced = leaving.map(vm => {
+		const reclaimedVms = this.listVms().filter(vm => vm.failureDomain === failureDomain && vm.reclaimable && vm.state !== VmState.Leaving);
+		const announced = reclaimedVms.map(vm => {
 			vm.state = VmState.Leaving;
 			vm.leavesAtMs = nowMs + this.settings.reclaimNoticeMs;
 			const notice = {
@@ -111,7 +111,7 @@
 			void this.stopVmAfter(vm, vm.leavesAtMs - nowMs);
 			return notice;
 		});
-		log.info('reclaim announced.', {failureDomain, vms: leaving.map(vm => vm.name)});
+		log.info('reclaim announced.', {failureDomain, vms: reclaimedVms.map(vm => vm.name)});
 		return announced;
 	}
 
--- a/src/standins/log.ts
+++ b/src/standins/log.ts
@@ -35,7 +35,7 @@
 
 	/** Appends values, wakes the waiting readers, and returns the offset of the first value. */
 	append(values: unknown[], nowMs: number): number {
-		const first = this.end;
+		const firstOffset = this.end;
 		for (const value of values) {
 			this.records.push({offset: this.end, appendedAtMs: nowMs, value});
 		}
@@ -44,7 +44,7 @@
 			wake();
 		}
 
-		return first;
+		return firstOffset;
 	}
 
 	/** Drops the records that are older than the retention time. */
@@ -70,20 +70,20 @@
 /** A token bucket that refills `perSecond` tokens per second and holds at most as many. */
 class AppendRateLimiter {
 	private tokens: number;
-	private lastMs: number;
+	private lastRefillMs: number;
 
 	constructor(
 		private readonly perSecond: number,
 		nowMs: number,
 	) {
 		this.tokens = perSecond;
-		this.lastMs = nowMs;
+		this.lastRefillMs = nowMs;
 	}
 
 	/** Takes one token; returns false when there is none. */
 	tryTake(nowMs: number): boolean {
-		this.tokens = Math.min(this.perSecond, this.tokens + (((nowMs - this.lastMs) * this.perSecond) / 1000));
-		this.lastMs = nowMs;
+		this.tokens = Math.min(this.perSecond, this.tokens + (((nowMs - this.lastRefillMs) * this.perSecond) / 1000));
+		this.lastRefillMs = nowMs;
 		if (this.tokens < 1) {
 			return false;
 		}
--- a/src/standins/vm-list.ts
+++ b/src/standins/vm-list.ts
@@ -29,9 +29,9 @@
 		path: '/vms',
 		handler(_request, h) {
 			const asOfMs = Date.now() - settings.lagMs;
-			const served = snapshots.findLast(snapshot => snapshot.atMs <= asOfMs);
-			const isMissing = faults.outage === true || served === undefined;
-			return isMissing ? h.response({error: 'no list'}).code(503) : served.vms;
+			const servedSnapshot = snapshots.findLast(snapshot => snapshot.atMs <= asOfMs);
+			const isMissing = faults.outage === true || servedSnapshot === undefined;
+			return isMissing ? h.response({error: 'no list'}).code(503) : servedSnapshot.vms;
 		},
 	});
 	await startServer(server);
