--- a/soak/__tests__/soak.test.ts
+++ b/soak/__tests__/soak.test.ts
@@ -1,24 +1,24 @@
 import {describe, expect, it} from 'vitest';
-import {soak} from '../soak.js';
-import {type WorldTraits} from '../world.js';
+import {runSoak} from '../soak.js';
+import {type ClusterOptions} from '../cluster.js';
 
-/** Seeds that once broke a promise, each with its cause, and a few that did not. */
-const seeds: Array<{seed: number; daemons: number; why: string; traits?: WorldTraits}> = [
-	{seed: 1, daemons: 3, why: 'a first mix of faults'},
-	{seed: 2, daemons: 3, why: 'a second one'},
-	{seed: 102, daemons: 16, why: 'calls on single connections lost their last bytes in the soak\'s own proxy'},
-	{seed: 3, daemons: 16, why: 'more daemons than report to each other, most of which go by what relays say'},
+/** Seeds whose runs once violated a guarantee, each with its cause, and some that cover a kind of fault. */
+const seeds: Array<{seed: number; daemons: number; cause: string; options?: ClusterOptions}> = [
+	{seed: 1, daemons: 3, cause: 'a mix of all usual faults'},
+	{seed: 2, daemons: 3, cause: 'another mix of all usual faults'},
+	{seed: 102, daemons: 16, cause: 'the soak\'s own proxy lost the last bytes of calls that each used a connection of their own'},
+	{seed: 3, daemons: 16, cause: 'more daemons than report to each other, most of which get their views of the store from relays'},
 	{
-		seed: 602, daemons: 3, why: 'idle connections to the store that had gone silent were used one after the other', traits: {hasStoreLink: true},
+		seed: 602, daemons: 3, cause: 'one idle connection to the store after the other was used although all had gone silent', options: {hasStoreLinkFaults: true},
 	},
 	{
-		seed: 701, daemons: 3, why: 'a request that crashes replicas, and a replica that states a limit', traits: {hasReplicaTrouble: true},
+		seed: 701, daemons: 3, cause: 'a request that crashes replicas, and a replica that states a limit', options: {hasReplicaFaults: true},
 	},
 ];
 
-describe('the soak', () => {
-	it.each(seeds)('seed $seed, $daemons daemons: $why', async ({seed, daemons, traits}) => {
-		const report = await soak(seed, 5000, daemons, traits);
+describe('soak', () => {
+	it.each(seeds)('seed $seed, $daemons daemons: $cause', async ({seed, daemons, options}) => {
+		const report = await runSoak(seed, 5000, daemons, options);
 		expect(report.broken).toEqual([]);
 		expect(report.servedLast).toBeGreaterThan(0.9);
 		expect(report.tries).toBeGreaterThan(100);
--- a/soak/clients.ts
+++ b/soak/clients.ts
@@ -1,90 +1,92 @@
-/** Callers of a soak run. They keep their connections, and remember what they sent and what they were told. */
+/** Clients of a soak run. Each keeps its connections open and records every request that it sent and the answer that it got. */
 import {Agent, request as startRequest} from 'node:http';
 import {streamEvents} from '../platform/__tests__/standins.js';
-import {fatalBody, type SoakWorld} from './world.js';
+import {fatalBody, type SoakCluster} from './cluster.js';
 
-/** One try of a client. */
-export type Try = {
+/** A request of a client, and the answer to it. */
+export type RequestRecord = {
 	id: string;
 	kind: string;
 	apiKey: string;
 	sentAtMs: number;
-	/** Undefined when no answer began. */
+	/** HTTP status, undefined when no answer began. */
 	status: number | undefined;
-	isSealed: boolean;
+	/** Whether the answer carries the replica's signature. */
+	hasReplicaSeal: boolean;
 	body: string;
-	isWhole: boolean;
+	/** Whether the answer arrived to its end. */
+	isComplete: boolean;
 };
 
-/** The kinds of request, as the first part of the path. */
-const kinds = ['call', 'pay', 'stream', 'once'];
-/** Pause between two tries of a client, in milliseconds. */
-const pauseMs = 15;
-/** A client gives up after this, in milliseconds. */
-const patienceMs = 2500;
+/** The kinds of request; each is the first segment of the path and has a route of its own. */
+const requestKinds = ['call', 'pay', 'stream', 'once'];
+/** Pause between two requests of a client, in milliseconds. */
+const requestPauseMs = 15;
+/** Time after which a client cancels a request, in milliseconds. */
+const requestTimeoutMs = 2500;
 
-/** Sends tries until the signal aborts, and returns them all. */
-export async function runClient(world: SoakWorld, name: string, signal: AbortSignal): Promise<Try[]> {
-	const tries: Try[] = [];
+/** Sends requests one after the other until the signal aborts, and returns the records of all. */
+export async function runClient(cluster: SoakCluster, name: string, signal: AbortSignal): Promise<RequestRecord[]> {
+	const records: RequestRecord[] = [];
 	const agent = new Agent({keepAlive: true});
 	for (let count = 0; !signal.aborted; count++) {
-		const daemon = world.daemons[(count + name.length) % world.daemons.length];
-		// eslint-disable-next-line no-await-in-loop -- a client waits for its answer.
-		tries.push(await sendTry(world, {
-			agent, host: daemon.host, id: `${name}-${count}`, kind: kinds[count % kinds.length],
+		const daemon = cluster.daemons[(count + name.length) % cluster.daemons.length];
+		// eslint-disable-next-line no-await-in-loop -- a client waits for its answer before the next request.
+		records.push(await sendRequest(cluster, {
+			agent, host: daemon.host, id: `${name}-${count}`, kind: requestKinds[count % requestKinds.length],
 		}));
 		// eslint-disable-next-line no-await-in-loop
 		await new Promise(resolve => {
-			setTimeout(resolve, pauseMs);
+			setTimeout(resolve, requestPauseMs);
 		});
 	}
 
 	agent.destroy();
-	return tries;
+	return records;
 }
 
-/** Pause between two tries of the client whose request crashes replicas, in milliseconds. */
-const fatalPauseMs = 250;
+/** Pause between two requests of the client whose request crashes replicas, in milliseconds. */
+const fatalRequestPauseMs = 250;
 
-/** Sends the request that crashes replicas, to one daemon after the other, until the signal aborts. */
-export async function runFatalClient(world: SoakWorld, signal: AbortSignal): Promise<void> {
+/** Sends the request that crashes replicas to each daemon in turn, until the signal aborts. */
+export async function runFatalClient(cluster: SoakCluster, signal: AbortSignal): Promise<void> {
 	const agent = new Agent({keepAlive: true});
 	for (let count = 0; !signal.aborted; count++) {
-		// eslint-disable-next-line no-await-in-loop -- it comes again after each answer.
-		await sendTry(world, {
-			agent, host: world.daemons[count % world.daemons.length].host, id: `fatal-${count}`, kind: 'stream', path: '/stream/fatal', body: fatalBody,
+		// eslint-disable-next-line no-await-in-loop -- the request is sent again only after its answer.
+		await sendRequest(cluster, {
+			agent, host: cluster.daemons[count % cluster.daemons.length].host, id: `fatal-${count}`, kind: 'stream', path: '/stream/fatal', body: fatalBody,
 		});
 		// eslint-disable-next-line no-await-in-loop
 		await new Promise(resolve => {
-			setTimeout(resolve, fatalPauseMs);
+			setTimeout(resolve, fatalRequestPauseMs);
 		});
 	}
 
 	agent.destroy();
 }
 
-/** One try: where it goes, and what it asks. */
-type TryInputs = {agent: Agent; host: string; id: string; kind: string; path?: string; body?: string};
+/** Destination and content of one request. */
+type RequestInputs = {agent: Agent; host: string; id: string; kind: string; path?: string; body?: string};
 
-async function sendTry(world: SoakWorld, {agent, host, id, kind, path = `/${kind}/${id}`, body = id}: TryInputs): Promise<Try> {
-	const [apiKey] = world.apiKeys;
-	const record: Try = {
-		id, kind, apiKey, sentAtMs: Date.now(), status: undefined, isSealed: false, body: '', isWhole: false,
+async function sendRequest(cluster: SoakCluster, {agent, host, id, kind, path = `/${kind}/${id}`, body = id}: RequestInputs): Promise<RequestRecord> {
+	const [apiKey] = cluster.apiKeys;
+	const record: RequestRecord = {
+		id, kind, apiKey, sentAtMs: Date.now(), status: undefined, hasReplicaSeal: false, body: '', isComplete: false,
 	};
 	return new Promise(resolve => {
 		const request = startRequest({
-			agent, host, port: world.callersPort, method: 'POST', path, timeout: patienceMs, headers: {
+			agent, host, port: cluster.clientPort, method: 'POST', path, timeout: requestTimeoutMs, headers: {
 				host: 'h.example', 'X-Sesametally-Attempt-Id': id, 'X-Sesametally-Deadline-Ms': '2000', 'X-Sesametally-Key': apiKey,
 			},
 		}, response => {
 			record.status = response.statusCode;
-			record.isSealed = response.headers['x-sesametally-replica-seal'] !== undefined;
+			record.hasReplicaSeal = response.headers['x-sesametally-replica-seal'] !== undefined;
 			response.on('data', chunk => {
 				record.body += String(chunk);
 			});
 			response.on('error', () => undefined);
 			response.once('close', () => {
-				record.isWhole = response.complete;
+				record.isComplete = response.complete;
 				resolve(record);
 			});
 		});
@@ -98,14 +100,14 @@
 	});
 }
 
-/** Why an answer breaks a promise by itself, if it does. */
-export function judgeAnswer(record: Try): string | undefined {
-	const {status, isWhole, isSealed, body, kind, id} = record;
-	if (status === undefined || status >= 300 || !isWhole) {
+/** Returns what is wrong with a complete success by itself: a missing signature or a body other than the replica's. */
+export function findAnswerViolation(record: RequestRecord): string | undefined {
+	const {status, isComplete, hasReplicaSeal, body, kind, id} = record;
+	if (status === undefined || status >= 300 || !isComplete) {
 		return undefined;
 	}
 
-	if (!isSealed) {
+	if (!hasReplicaSeal) {
 		return 'a success without the replica\'s signature';
 	}
 
--- a/soak/world.ts
+++ b/soak/cluster.ts
@@ -1,4 +1,4 @@
-/** What a soak run consists of: stand-ins of the platform, and real daemons as processes of their own. */
+/** The cluster of a soak run: stand-ins of the platform, and real daemons as separate processes. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {mkdirSync, mkdtempSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -7,30 +7,34 @@
 import {CloudStandin, ReplicaStandin, StoreStandin} from '../platform/__tests__/standins.js';
 import {FaultyLink} from './faulty-link.js';
 
-/** Replicas of one run. */
+/** Number of replicas of one run. */
 const replicaCount = 4;
-/** Failure domains of a run with more daemons than report to each other. */
-const zones = ['zone-a', 'zone-b'];
-/** Daemons beyond which they are spread over the failure domains. */
-const oneZoneDaemons = 3;
-/** Time until an ended daemon is started again, in milliseconds. */
-const restartMs = 200;
-/** Time until another replica stands in for one that crashed, in milliseconds. */
-const replaceMs = 400;
-/** Body of the request that crashes every replica, in runs that have one. */
+/** Failure domains; small runs use only the first. */
+const failureDomains = ['zone-a', 'zone-b'];
+/** Largest number of daemons that all stand in one failure domain; more are spread over all domains. */
+const maxDaemonsInOneDomain = 3;
+/** Time after its exit until a daemon is started again, in milliseconds. */
+const restartDelayMs = 200;
+/** Time after a replica's crash until another one replaces it, in milliseconds. */
+const replacementDelayMs = 400;
+/** Body of the request that crashes every replica that runs it, in runs with replica faults. */
 export const fatalBody = 'fatal';
-/** First port of a run's daemons; each daemon has a loopback address of its own. */
-const callersPort = 18_700;
-/** Bounds that the daemons are held to, in the platform's settings. */
-const usualBounds = {
+/** Port of every daemon for clients; its other ports follow. Each daemon has a loopback address of its own. */
+const clientPort = 18_700;
+/** Bounds that the daemons must meet, under the names of the platform's settings. */
+const defaultBounds = {
 	revoke_ms: 2000, config_apply_ms: 1500, grace_s: 5, usage_window_s: 1, drain_ms: 1000, lease_ms: 1500,
 };
 
-/** The same with faults on the link to the store: far apart, so that a view that is only young enough for keys shows. */
-const storeLinkBounds = {...usualBounds, revoke_ms: 6000};
+/**
+ * Bounds in runs with faults on the link to the store. The bound for revocations is far above that for other changes,
+ * so that the checks notice a daemon that serves from a view that is fresh enough only for API keys.
+ */
+const storeLinkBounds = {...defaultBounds, revoke_ms: 6000};
 
-/** One daemon, through all its restarts. */
+/** One daemon and its process, which is started again after each exit. */
 export class SoakDaemon {
+	/** Lines that the daemon wrote to its outputs, over all starts. */
 	readonly log: string[] = [];
 	private child: ChildProcess | undefined;
 	private isClosed = false;
@@ -41,7 +45,7 @@
 		writeFileSync(this.settingsFile, JSON.stringify(settings));
 	}
 
-	/** Starts the daemon, and starts it again whenever it ends, as the platform does. */
+	/** Starts the daemon, and starts it again after each exit, as the platform does. */
 	start(): void {
 		const child = spawn(process.execPath, ['dist/sesametally.cjs', 'front'], {env: {...process.env, SESAMETALLY_BOOT: this.settingsFile, SESAMETALLY_LOG: 'on'}, stdio: ['ignore', 'pipe', 'pipe']});
 		this.child = child;
@@ -49,7 +53,7 @@
 			if (!this.isClosed) {
 				setTimeout(() => {
 					this.start();
-				}, restartMs);
+				}, restartDelayMs);
 			}
 		});
 		for (const output of [child.stdout, child.stderr]) {
@@ -59,7 +63,7 @@
 		}
 	}
 
-	/** Ends the daemon for good. */
+	/** Kills the daemon and doesn't start it again. */
 	close(): void {
 		this.isClosed = true;
 		this.signal('SIGCONT');
@@ -71,48 +75,50 @@
 	}
 }
 
-/** What a run has beside daemons and replicas. */
-export type WorldTraits = {
-	/** A link to the store that can have faults. */
-	hasStoreLink?: boolean;
-	/** A request that crashes replicas, and replicas that state limits. */
-	hasReplicaTrouble?: boolean;
+/** Additional faults of a run. */
+export type ClusterOptions = {
+	/** Whether the daemons reach the store through a {@link FaultyLink}. */
+	hasStoreLinkFaults?: boolean;
+	/** Whether there are a request that crashes replicas and a replica that states a limit. */
+	hasReplicaFaults?: boolean;
 };
 
-/** The processes and stand-ins of one run. */
-export class SoakWorld {
-	readonly bounds: typeof usualBounds;
+/** The daemons, stand-ins and links of one run. */
+export class SoakCluster {
+	readonly bounds: typeof defaultBounds;
 	readonly store = new StoreStandin();
 	readonly cloud = new CloudStandin();
+	/** All replicas of the run, also those that have left. */
 	readonly replicas: ReplicaStandin[] = [];
+	/** The link to each replica, at the same index. */
 	readonly links: FaultyLink[] = [];
 	/** The link to the store, in runs with faults on it. */
 	storeLink: FaultyLink | undefined;
 	daemons: SoakDaemon[] = [];
-	readonly callersPort = callersPort;
-	/** API keys that the configuration holds now. */
+	readonly clientPort = clientPort;
+	/** API keys in the current configuration. */
 	apiKeys = ['key-0'];
-	/** When a key's removal was taken by the store, in milliseconds since 1970. */
+	/** Time when the store took the configuration without a key, in milliseconds since 1970. */
 	readonly revokedAtMs = new Map<string, number>();
-	/** When a key was taken into the configuration by the store, in milliseconds since 1970. */
+	/** Time when the store took the configuration with a new key, in milliseconds since 1970. */
 	readonly addedAtMs = new Map<string, number>();
 	private version = 1;
-	private replicaIds = 0;
+	private lastReplicaNumber = 0;
 	private isClosed = false;
 
-	constructor(private readonly daemonCount: number, private readonly traits: WorldTraits) {
-		this.bounds = traits.hasStoreLink ? storeLinkBounds : usualBounds;
+	constructor(private readonly daemonCount: number, private readonly options: ClusterOptions) {
+		this.bounds = options.hasStoreLinkFaults ? storeLinkBounds : defaultBounds;
 	}
 
 	async start(): Promise<void> {
 		await this.store.start();
 		await this.cloud.start();
 		for (let index = 0; index < replicaCount; index++) {
-			// eslint-disable-next-line no-await-in-loop -- a handful, in order.
+			// eslint-disable-next-line no-await-in-loop -- replicas get their ids in order.
 			await this.addReplica();
 		}
 
-		if (this.traits.hasStoreLink) {
+		if (this.options.hasStoreLinkFaults) {
 			this.storeLink = new FaultyLink(this.store.address);
 			await this.storeLink.start();
 		}
@@ -130,12 +136,12 @@
 			daemon.close();
 		}
 
-		for (const part of [this.store, this.cloud, ...this.replicas, ...this.links, this.storeLink]) {
-			part?.stop();
+		for (const server of [this.store, this.cloud, ...this.replicas, ...this.links, this.storeLink]) {
+			server?.stop();
 		}
 	}
 
-	/** Writes what each daemon logged to a folder. */
+	/** Writes each daemon's log to a file in a folder. */
 	saveLogs(folder: string): void {
 		mkdirSync(folder, {recursive: true});
 		for (const {host, log} of this.daemons) {
@@ -143,16 +149,16 @@
 		}
 	}
 
-	/** Adds a replica behind a link of its own. */
+	/** Starts a replica behind its own link and publishes it as ready. */
 	async addReplica(): Promise<void> {
-		const replica = new ReplicaStandin(`i-${++this.replicaIds}`);
+		const replica = new ReplicaStandin(`i-${++this.lastReplicaNumber}`);
 		await replica.start();
 		const link = new FaultyLink(replica.address);
 		await link.start();
 		this.replicas.push(replica);
 		this.links.push(link);
-		this.listReplica(replica, link, 'ready');
-		if (this.traits.hasReplicaTrouble) {
+		this.publishReplica(replica, link, 'ready');
+		if (this.options.hasReplicaFaults) {
 			replica.fatalBody = fatalBody;
 			replica.onCrash = () => {
 				this.replaceCrashed(replica, link);
@@ -160,12 +166,12 @@
 		}
 	}
 
-	/** Lists a replica as leaving. */
+	/** Publishes a replica as draining. */
 	drainReplica(index: number): void {
-		this.listReplica(this.replicas[index], this.links[index], 'draining');
+		this.publishReplica(this.replicas[index], this.links[index], 'draining');
 	}
 
-	/** Replaces the API key by a new one. */
+	/** Replaces the API key with a new one. */
 	revokeKey(): void {
 		const [old] = this.apiKeys;
 		this.apiKeys = [`key-${this.version}`];
@@ -174,7 +180,7 @@
 		this.addedAtMs.set(this.apiKeys[0], Date.now());
 	}
 
-	/** Closes the address of a replica that crashed at once; its entry lapses as another replica comes. */
+	/** Closes the address of a crashed replica at once; later removes its record from the store and adds another replica. */
 	private replaceCrashed(replica: ReplicaStandin, link: FaultyLink): void {
 		link.stop();
 		setTimeout(() => {
@@ -182,15 +188,17 @@
 				this.store.put('keyed.servers', replica.id, undefined);
 				void this.addReplica();
 			}
-		}, replaceMs);
+		}, replacementDelayMs);
 	}
 
-	private listReplica(replica: ReplicaStandin, link: FaultyLink, state: string): void {
+	/** Writes a replica's record to the store. */
+	private publishReplica(replica: ReplicaStandin, link: FaultyLink, state: string): void {
 		this.store.put('keyed.servers', replica.id, {
-			service: 'svc', address: link.address, zone: zones[0], slots: 8, state, sequence: 1, version: 'v1', cold_left_ms: 0,
+			service: 'svc', address: link.address, zone: failureDomains[0], slots: 8, state, sequence: 1, version: 'v1', cold_left_ms: 0,
 		});
 	}
 
+	/** Writes a new version of the configuration to the store. */
 	private putConfig(): void {
 		this.version += 2;
 		const route = (name: string, kind: string, isResumable = false) => ({
@@ -209,10 +217,10 @@
 		return new SoakDaemon(host, {
 			node_name: `front-${String(index).padStart(2, '0')}`,
 			ip: host,
-			zone: this.daemonCount > oneZoneDaemons ? zones[index % zones.length] : zones[0],
+			zone: this.daemonCount > maxDaemonsInOneDomain ? failureDomains[index % failureDomains.length] : failureDomains[0],
 			bootstrap: true,
-			listen: {front: `${host}:${callersPort}`, readiness_addr: `${host}:${callersPort + 1}`},
-			port_range: [callersPort + 2, callersPort + 5],
+			listen: {front: `${host}:${clientPort}`, readiness_addr: `${host}:${clientPort + 1}`},
+			port_range: [clientPort + 2, clientPort + 5],
 			platform: {address: this.storeLink?.address ?? this.store.address},
 			cloud: {address: this.cloud.address},
 			bounds: this.bounds,
--- a/soak/faulty-link.ts
+++ b/soak/faulty-link.ts
@@ -1,34 +1,35 @@
-/** A loopback TCP proxy between daemons and a backend server or the store, whose connections can be delayed, silenced, cut one way or reset. */
+/** A loopback TCP proxy between the daemons and a backend server or the store; its connections can be delayed, silenced, cut in one direction or reset. */
 import {
 	connect, createServer, type AddressInfo, type Socket,
 } from 'node:net';
 
-/** What the link does with bytes. */
+/** What the proxy does with the bytes that it receives. */
 export enum LinkMode {
 	Pass = 'pass',
-	/** Bytes arrive later, both ways. */
+	/** Bytes arrive late in both directions. */
 	Delay = 'delay',
-	/** New and open connections stay open and carry nothing. */
+	/** New and existing connections stay open, but no bytes pass. */
 	Silence = 'silence',
-	/** Requests arrive and answers do not. */
+	/** Requests arrive, answers are dropped. */
 	OneWay = 'one-way',
 }
 
-/** Delay of each piece in `Delay` mode, in milliseconds. */
+/** Delay of each chunk in {@link LinkMode.Delay}, in milliseconds. */
 const delayMs = 120;
 
-/** One proxied address. */
+/** A proxy of one address. */
 export class FaultyLink {
 	mode = LinkMode.Pass;
+	/** The proxy's own address, as host:port, once it is started. */
 	address = '';
-	private readonly pairs = new Set<[Socket, Socket]>();
-	/** Connections that carry nothing any more, whatever the mode. */
-	private readonly silent = new WeakSet<Socket>();
+	private readonly connectionPairs = new Set<[Socket, Socket]>();
+	/** Sockets whose bytes are dropped in every mode. */
+	private readonly silencedSockets = new WeakSet<Socket>();
 	private readonly server = createServer(client => {
-		this.open(client);
+		this.forward(client);
 	});
 
-	/** @param target The address behind the link, as host:port. */
+	/** @param target The address that the proxy forwards to, as host:port. */
 	constructor(private readonly target: string) {}
 
 	async start(): Promise<void> {
@@ -45,32 +46,32 @@
 
 	/** Resets every open connection. */
 	reset(): void {
-		for (const pair of this.pairs) {
+		for (const pair of this.connectionPairs) {
 			for (const socket of pair) {
 				socket.resetAndDestroy();
 			}
 		}
 	}
 
-	/** Lets the open connections stay open and carry nothing for good; new ones work. */
-	silenceOpen(): void {
-		for (const socket of [...this.pairs].flat()) {
-			this.silent.add(socket);
+	/** Drops all further bytes of the connections that are open now, without closing them; new connections work. */
+	silenceOpenConnections(): void {
+		for (const socket of [...this.connectionPairs].flat()) {
+			this.silencedSockets.add(socket);
 		}
 	}
 
-	private open(client: Socket): void {
+	private forward(client: Socket): void {
 		const [host, port] = this.target.split(':');
 		const backend = connect(Number(port), host);
 		const pair: [Socket, Socket] = [client, backend];
-		this.pairs.add(pair);
+		this.connectionPairs.add(pair);
 		this.pipe(client, backend, false);
 		this.pipe(backend, client, true);
 		for (const socket of pair) {
 			socket.on('error', () => undefined);
 			socket.once('close', hadError => {
-				this.pairs.delete(pair);
-				// What came before a regular end is still on its way to the other side, which ends after it.
+				this.connectionPairs.delete(pair);
+				// After a regular end, delayed bytes may still be due on the other socket, which is ended after them.
 				if (hadError) {
 					for (const other of pair) {
 						other.destroy();
@@ -80,10 +81,10 @@
 		}
 	}
 
-	private pipe(from: Socket, to: Socket, isAnswer: boolean): void {
+	private pipe(from: Socket, to: Socket, isResponse: boolean): void {
 		from.on('data', bytes => {
-			const isLost = this.silent.has(from) || this.mode === LinkMode.Silence || (this.mode === LinkMode.OneWay && isAnswer);
-			if (isLost) {
+			const isDropped = this.silencedSockets.has(from) || this.mode === LinkMode.Silence || (this.mode === LinkMode.OneWay && isResponse);
+			if (isDropped) {
 				return;
 			}
 
--- a/soak/soak.ts
+++ b/soak/soak.ts
@@ -1,7 +1,7 @@
 /**
- * A randomized soak: real daemons before stand-ins of the platform, with faults from
- * outside drawn from a seed. It checks the promises to callers and backend servers from
- * what both of them saw.
+ * A randomized soak test: real daemons run against stand-ins of the platform, while faults
+ * drawn from a seed are injected from outside. It checks the guarantees to clients and
+ * backend servers from the requests and answers that both of them recorded.
  */
 import path from 'node:path';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -9,104 +9,113 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {ReplicaMode} from '../platform/__tests__/standins.js';
 import {
-	judgeAnswer, runClient, runFatalClient, type Try,
+	findAnswerViolation, runClient, runFatalClient, type RequestRecord,
 } from './clients.js';
 import {LinkMode} from './faulty-link.js';
 import {
-	judgeCrashes, judgeLimit, limitedMs, stateLimit,
-} from './replica-trouble.js';
-import {SoakWorld, type WorldTraits} from './world.js';
+	findCrashViolations, findLimitViolations, limitCheckMs, startStatingLimit,
+} from './replica-faults.js';
+import {SoakCluster, type ClusterOptions} from './cluster.js';
 
-/** Clients of one run. */
+/** Number of clients of one run. */
 const clientCount = 8;
-/** Time without faults before, and after which all must serve again, in milliseconds: a stop takes 3 s, a start under 1. */
-const calmMs = 1500;
-const recoverMs = 4500;
-/** Time for each daemon's start, in milliseconds: a few start at once on as many cores. */
-const startMs = 100;
-/** Longest pause between two faults, and longest fault, in milliseconds. */
-const mostPauseMs = 500;
-const mostFaultMs = 1800;
-/** Time for a revocation beyond its bound that the clocks of one machine may differ, in milliseconds. */
-const clockSlackMs = 50;
+/** Time without faults at the beginning and at the end of a run, in milliseconds. */
+const faultFreeMs = 1500;
+/** Time after the last fault until requests must be served again, in milliseconds: stopping a daemon takes 3 s, starting it under 1 s. */
+const recoveryMs = 4500;
+/** Additional time without faults per daemon at the beginning, in milliseconds: only as many daemons start at once as there are cores. */
+const startMsPerDaemon = 100;
+/** Longest pause between two faults, in milliseconds. */
+const maxPauseMs = 500;
+/** Longest duration of a fault, in milliseconds. */
+const maxFaultMs = 1800;
+/** Tolerance for differences between the clocks of processes on one machine, added to the bounds of key changes, in milliseconds. */
+const clockToleranceMs = 50;
 
 type RandomGenerator = ReturnType<typeof xoroshiro128plus>;
 
-/** How a run ended. */
+/**
+ * The result of a run: the number of requests (`tries`), of those with a complete answer of status 200 (`served`), the
+ * share answered with 200 of the requests sent after the recovery from the last fault (`servedLast`), the number of
+ * these by kind and status (`lastEnds`), the names of the injected faults in order (`faults`), and one text for each
+ * violation of a guarantee (`broken`).
+ */
 export type SoakReport = {seed: number; tries: number; served: number; servedLast: number; lastEnds: Record<string, number>; faults: string[]; broken: string[]};
 
+/** A fault: `begin` injects it, `end` removes it if it doesn't end by itself. */
 type Fault = {name: string; begin: () => void; end?: () => void};
 
-/** Share of the tries after the faults that must be served. */
-export const leastServed = 0.9;
-/** Daemons of a run unless it says otherwise. */
-const usualDaemons = 3;
+/** Minimum share of the requests after the faults that must be served. */
+export const minServedShare = 0.9;
+/** Number of daemons if the caller gives none. */
+const defaultDaemonCount = 3;
 
-/** Plays one run of `faultsMs` of faults and returns what it saw. */
-export async function soak(seed: number, faultsMs: number, daemons = usualDaemons, traits: WorldTraits = {}): Promise<SoakReport> {
+/** Runs one seed with `faultsMs` milliseconds of faults and returns its report. Saves the daemons' logs if a check failed. */
+export async function runSoak(seed: number, faultsMs: number, daemons = defaultDaemonCount, options: ClusterOptions = {}): Promise<SoakReport> {
 	const random = xoroshiro128plus(seed);
-	const world = new SoakWorld(daemons, traits);
+	const cluster = new SoakCluster(daemons, options);
 	const stop = new AbortController();
 	const faults: string[] = [];
-	await world.start();
+	await cluster.start();
 	try {
-		const clients = Array.from({length: clientCount}, async (_, index) => runClient(world, 'c'.repeat(index + 1), stop.signal));
-		await delay(calmMs + (daemons * startMs));
-		if (traits.hasReplicaTrouble) {
-			void runFatalClient(world, stop.signal);
+		const clients = Array.from({length: clientCount}, async (_, index) => runClient(cluster, 'c'.repeat(index + 1), stop.signal));
+		await delay(faultFreeMs + (daemons * startMsPerDaemon));
+		if (options.hasReplicaFaults) {
+			void runFatalClient(cluster, stop.signal);
 		}
 
 		const endAtMs = Date.now() + faultsMs;
-		const running: Array<Promise<void>> = [];
+		const activeFaults: Array<Promise<void>> = [];
 		while (Date.now() < endAtMs) {
-			const fault = drawFault(world, random);
+			const fault = drawFault(cluster, random);
 			faults.push(fault.name);
-			running.push(play(fault, draw(random, mostFaultMs)));
-			// eslint-disable-next-line no-await-in-loop -- faults come one after the other and overlap.
-			await delay(draw(random, mostPauseMs));
+			activeFaults.push(applyFault(fault, drawInteger(random, maxFaultMs)));
+			// eslint-disable-next-line no-await-in-loop -- faults begin one after the other and may overlap.
+			await delay(drawInteger(random, maxPauseMs));
 		}
 
-		await Promise.all(running);
+		await Promise.all(activeFaults);
 		const faultsEndMs = Date.now();
-		const limited = traits.hasReplicaTrouble ? stateLimit(world) : undefined;
-		const calmAtMs = faultsEndMs + recoverMs;
-		await delay(recoverMs + calmMs + (limited ? limitedMs : 0));
+		const limitedReplica = options.hasReplicaFaults ? startStatingLimit(cluster) : undefined;
+		const recoveredAtMs = faultsEndMs + recoveryMs;
+		await delay(recoveryMs + faultFreeMs + (limitedReplica ? limitCheckMs : 0));
 		stop.abort();
 		const records = await Promise.all(clients);
-		const result = report({
-			seed, faults, world, tries: records.flat(), calmAtMs,
+		const report = createReport({
+			seed, faults, cluster, records: records.flat(), recoveredAtMs,
 		});
-		if (limited) {
-			result.broken.push(...judgeCrashes(world, faultsEndMs), ...judgeLimit(limited));
+		if (limitedReplica) {
+			report.broken.push(...findCrashViolations(cluster, faultsEndMs), ...findLimitViolations(limitedReplica));
 		}
 
-		if (result.broken.length > 0 || result.servedLast < leastServed) {
-			world.saveLogs(path.join('reports', 'soak', `seed-${seed}-of-${daemons}`));
+		if (report.broken.length > 0 || report.servedLast < minServedShare) {
+			cluster.saveLogs(path.join('reports', 'soak', `seed-${seed}-of-${daemons}`));
 		}
 
-		return result;
+		return report;
 	} finally {
 		stop.abort();
-		world.stop();
+		cluster.stop();
 	}
 }
 
-function draw(random: RandomGenerator, most: number): number {
-	return uniformInt(random, 1, most);
+/** Draws an integer from 1 to `max`. */
+function drawInteger(random: RandomGenerator, max: number): number {
+	return uniformInt(random, 1, max);
 }
 
-async function play(fault: Fault, forMs: number): Promise<void> {
+async function applyFault(fault: Fault, durationMs: number): Promise<void> {
 	fault.begin();
-	await delay(forMs);
+	await delay(durationMs);
 	fault.end?.();
 }
 
-/** Draws a fault and where it strikes. */
-function drawFault(world: SoakWorld, random: RandomGenerator): Fault {
-	const daemon = world.daemons[draw(random, world.daemons.length) - 1];
-	const index = draw(random, world.replicas.length) - 1;
-	const replica = world.replicas[index];
-	const link = world.links[index];
+/** Draws a fault and the daemon, replica or link that it affects. */
+function drawFault(cluster: SoakCluster, random: RandomGenerator): Fault {
+	const daemon = cluster.daemons[drawInteger(random, cluster.daemons.length) - 1];
+	const index = drawInteger(random, cluster.replicas.length) - 1;
+	const replica = cluster.replicas[index];
+	const link = cluster.links[index];
 	const sendSignal = (name: NodeJS.Signals): Fault => ({
 		name: `${daemon.host} ${name}`,
 		begin() {
@@ -129,7 +138,7 @@
 		},
 		end() {
 			link.mode = LinkMode.Pass;
-			// What a silent link swallowed never comes: its connections are of no use.
+			// Bytes that the link dropped are never sent again, so its connections are unusable.
 			link.reset();
 		},
 	});
@@ -146,23 +155,23 @@
 		() => ({
 			name: 'store down',
 			begin() {
-				world.store.isDown = true;
+				cluster.store.isDown = true;
 			},
 			end() {
-				world.store.isDown = false;
+				cluster.store.isDown = false;
 			},
 		}),
 		() => ({
 			name: 'key revoked',
 			begin() {
-				world.revokeKey();
+				cluster.revokeKey();
 			},
 		}),
 		() => ({
 			name: 'replica replaced',
 			begin() {
-				world.drainReplica(index);
-				void world.addReplica();
+				cluster.drainReplica(index);
+				void cluster.addReplica();
 			},
 		}),
 		() => ({
@@ -173,13 +182,13 @@
 		}),
 		...[ReplicaMode.Fail, ReplicaMode.Shed, ReplicaMode.Reset, ReplicaMode.Cut, ReplicaMode.Misplace].map(mode => () => setMode(mode)),
 		...[LinkMode.Delay, LinkMode.Silence, LinkMode.OneWay].map(mode => () => setLink(mode)),
-		...storeLinkFaults(world),
+		...storeLinkFaults(cluster),
 	];
-	return choices[draw(random, choices.length) - 1]();
+	return choices[drawInteger(random, choices.length) - 1]();
 }
 
-/** Faults on the link to the store, in runs that have one: other runs' seeds draw from the same faults as before. */
-function storeLinkFaults({storeLink}: SoakWorld): Array<() => Fault> {
+/** Returns the faults on the link to the store, none in runs without that link, so that their seeds draw the same faults as without this function. */
+function storeLinkFaults({storeLink}: SoakCluster): Array<() => Fault> {
 	if (!storeLink) {
 		return [];
 	}
@@ -188,7 +197,7 @@
 		() => ({
 			name: 'connections to the store go silent',
 			begin() {
-				storeLink.silenceOpen();
+				storeLink.silenceOpenConnections();
 			},
 		}),
 		() => ({
@@ -209,74 +218,76 @@
 	];
 }
 
-/** Checks every promise against what clients and replicas saw. */
-function report({seed, faults, world, tries, calmAtMs}: {seed: number; faults: string[]; world: SoakWorld; tries: Try[]; calmAtMs: number}): SoakReport {
-	const runs = new Map<string, number>();
-	for (const {id, ran} of world.replicas.flatMap(replica => replica.received)) {
-		runs.set(id, (runs.get(id) ?? 0) + (ran ? 1 : 0));
+/** Checks every guarantee against the requests that clients and replicas recorded. */
+function createReport({seed, faults, cluster, records, recoveredAtMs}: {seed: number; faults: string[]; cluster: SoakCluster; records: RequestRecord[]; recoveredAtMs: number}): SoakReport {
+	const runCounts = new Map<string, number>();
+	for (const {id, ran} of cluster.replicas.flatMap(replica => replica.received)) {
+		runCounts.set(id, (runCounts.get(id) ?? 0) + (ran ? 1 : 0));
 	}
 
-	const broken: string[] = [];
-	for (const record of tries) {
-		const problem = judgeAnswer(record) ?? judgeRuns(record, runs.get(record.id) ?? 0) ?? judgeKey(record, runs.get(record.id) ?? 0, world) ?? judgeDenial(record, world);
-		if (problem !== undefined) {
-			broken.push(`${record.id} (${record.kind}, ${record.status ?? 'no answer'}): ${problem}`);
+	const violations: string[] = [];
+	for (const record of records) {
+		const violation = findAnswerViolation(record) ?? findRunViolation(record, runCounts.get(record.id) ?? 0) ?? findRevocationViolation(record, runCounts.get(record.id) ?? 0, cluster) ?? findDenialViolation(record, cluster);
+		if (violation !== undefined) {
+			violations.push(`${record.id} (${record.kind}, ${record.status ?? 'no answer'}): ${violation}`);
 		}
 	}
 
-	broken.push(...judgeDuties(world));
-	const served = tries.filter(record => record.status === 200 && record.isWhole);
-	const last = tries.filter(record => record.sentAtMs > calmAtMs);
-	const lastEnds: Record<string, number> = {};
-	for (const {status, kind} of last) {
-		const end = `${kind} ${status ?? 'no answer'}`;
-		lastEnds[end] = (lastEnds[end] ?? 0) + 1;
+	violations.push(...findDutyViolations(cluster));
+	const served = records.filter(record => record.status === 200 && record.isComplete);
+	const afterFaults = records.filter(record => record.sentAtMs > recoveredAtMs);
+	const outcomesAfterFaults: Record<string, number> = {};
+	for (const {status, kind} of afterFaults) {
+		const outcome = `${kind} ${status ?? 'no answer'}`;
+		outcomesAfterFaults[outcome] = (outcomesAfterFaults[outcome] ?? 0) + 1;
 	}
 
 	return {
-		seed, tries: tries.length, served: served.length, servedLast: last.filter(record => record.status === 200).length / Math.max(1, last.length), lastEnds, faults, broken,
+		seed, tries: records.length, served: served.length, servedLast: afterFaults.filter(record => record.status === 200).length / Math.max(1, afterFaults.length), lastEnds: outcomesAfterFaults, faults, broken: violations,
 	};
 }
 
-function judgeRuns({kind, status}: Try, runs: number): string | undefined {
-	const isOnce = kind === 'pay' || kind === 'once';
-	if (isOnce && runs > 1) {
-		return `ran ${runs} times`;
+/** Checks that a non-idempotent request ran at most once, and not at all if it was answered with 429 or 503. */
+function findRunViolation({kind, status}: RequestRecord, runCount: number): string | undefined {
+	const isNonIdempotent = kind === 'pay' || kind === 'once';
+	if (isNonIdempotent && runCount > 1) {
+		return `ran ${runCount} times`;
 	}
 
-	return isOnce && (status === 429 || status === 503) && runs > 0 ? 'said not run, and ran' : undefined;
+	return isNonIdempotent && (status === 429 || status === 503) && runCount > 0 ? 'ran although the answer said that it did not' : undefined;
 }
 
-function judgeKey({apiKey, sentAtMs}: Try, runs: number, world: SoakWorld): string | undefined {
-	const revokedAtMs = world.revokedAtMs.get(apiKey);
-	const isLate = revokedAtMs !== undefined && sentAtMs > revokedAtMs + world.bounds.revoke_ms + clockSlackMs;
-	return isLate && runs > 0 ? 'ran with a revoked key' : undefined;
+/** Checks that no request ran that was sent later than the bound after its key was revoked. */
+function findRevocationViolation({apiKey, sentAtMs}: RequestRecord, runCount: number, cluster: SoakCluster): string | undefined {
+	const revokedAtMs = cluster.revokedAtMs.get(apiKey);
+	const isLate = revokedAtMs !== undefined && sentAtMs > revokedAtMs + cluster.bounds.revoke_ms + clockToleranceMs;
+	return isLate && runCount > 0 ? 'ran with a revoked key' : undefined;
 }
 
-/** A key that has been in the configuration for the bound is not denied for good. */
-function judgeDenial({apiKey, sentAtMs, status}: Try, world: SoakWorld): string | undefined {
-	const addedAtMs = world.addedAtMs.get(apiKey);
-	return status === 401 && addedAtMs !== undefined && sentAtMs > addedAtMs + world.bounds.config_apply_ms + clockSlackMs ? 'denied a key of the configuration' : undefined;
+/** Checks that no request is denied whose key has been in the configuration for longer than the bound. */
+function findDenialViolation({apiKey, sentAtMs, status}: RequestRecord, cluster: SoakCluster): string | undefined {
+	const addedAtMs = cluster.addedAtMs.get(apiKey);
+	return status === 401 && addedAtMs !== undefined && sentAtMs > addedAtMs + cluster.bounds.config_apply_ms + clockToleranceMs ? 'denied although its key is in the configuration' : undefined;
 }
 
-/** One holder a token, and one report a window. */
-function judgeDuties({cloud}: SoakWorld): string[] {
-	const broken: string[] = [];
-	const holders = new Map<number, string>();
-	const reports = new Map<unknown, string>();
+/** Checks that each fencing token has one holder, and that each usage window is reported with one set of counts. */
+function findDutyViolations({cloud}: SoakCluster): string[] {
+	const violations: string[] = [];
+	const holderByToken = new Map<number, string>();
+	const countsByWindow = new Map<unknown, string>();
 	for (const {path, holder, token, body} of cloud.calls) {
-		if ((holders.get(token) ?? holder) !== holder) {
-			broken.push(`token ${token} used by ${holder} and ${holders.get(token)}`);
+		if ((holderByToken.get(token) ?? holder) !== holder) {
+			violations.push(`fencing token ${token} used by ${holder} and ${holderByToken.get(token)}`);
 		}
 
-		holders.set(token, holder);
+		holderByToken.set(token, holder);
 		const counts = JSON.stringify(body.counts);
-		if (path === '/usage' && (reports.get(body.window_id) ?? counts) !== counts) {
-			broken.push(`window ${String(body.window_id)} reported in two ways`);
+		if (path === '/usage' && (countsByWindow.get(body.window_id) ?? counts) !== counts) {
+			violations.push(`usage window ${String(body.window_id)} reported twice with different counts`);
 		}
 
-		reports.set(body.window_id, counts);
+		countsByWindow.set(body.window_id, counts);
 	}
 
-	return broken;
+	return violations;
 }
