--- a/model/belief.pml
+++ b/model/belief.pml
@@ -1,16 +1,17 @@
 /*
- * What a daemon may believe of the operators' configuration while the store may answer
- * late or not at all and the VM may be suspended. A key is revoked at some moment; a read
- * samples the store somewhere between its sending and its answer. The daemon serves a
- * request with the key while its view is at most LIMIT old.
+ * How long a daemon may serve requests by its view of the operators' configuration while
+ * the store answers late or not at all and the VM may be suspended. An API key is revoked
+ * at some moment; a read samples the store some time after it was sent and before it is
+ * answered. The daemon serves a request with the key while its view is at most MAX_AGE old.
  *
- * Property: no request is served that arrives more than BOUND after the revocation.
- * AGE_FROM_ANSWER counts a view's age from the answer instead of the sending of its read,
- * MONOTONIC_ONLY uses a clock that stands still during a suspension: both must fail.
+ * Property: no request is served that arrives more than REVOCATION_BOUND after the
+ * revocation. AGE_FROM_ANSWER counts a view's age from the answer instead of from when the
+ * read was sent, and MONOTONIC_ONLY uses a clock that stops during a suspension: the check
+ * of both must fail.
  */
-#define LIMIT 4
-#define BOUND 5
-#define END 14
+#define MAX_AGE 4
+#define REVOCATION_BOUND 5
+#define MAX_TIME 14
 
 byte now = 0;
 byte monotonic = 0;
@@ -20,29 +21,29 @@
 
 bool reading = false;
 bool sampled = false;
-bool sample = false;
-byte sentAt = 0;
+bool sampledRevoked = false;
+byte readSentAt = 0;
 
-bool known = false;
+bool hasView = false;
 bool viewRevoked = false;
 byte confirmedAt = 0;
 
 #ifdef MONOTONIC_ONLY
-#define CLOCK monotonic
+#define DAEMON_CLOCK monotonic
 #else
-#define CLOCK now
+#define DAEMON_CLOCK now
 #endif
 
-active proctype Time() {
+active proctype Clock() {
 	do
-	:: now < END -> atomic {
+	:: now < MAX_TIME -> atomic {
 		now++;
 		if
 		:: !suspended -> monotonic++
 		:: else -> skip
 		fi
 	}
-	:: now >= END -> break
+	:: now >= MAX_TIME -> break
 	od
 }
 
@@ -57,27 +58,27 @@
 
 active proctype Store() {
 	do
-	:: atomic { reading && !sampled -> sample = revoked; sampled = true }
-	:: now >= END -> break
+	:: atomic { reading && !sampled -> sampledRevoked = revoked; sampled = true }
+	:: now >= MAX_TIME -> break
 	od
 }
 
 active proctype Daemon() {
 	do
-	:: atomic { !suspended && !reading -> reading = true; sampled = false; sentAt = CLOCK }
+	:: atomic { !suspended && !reading -> reading = true; sampled = false; readSentAt = DAEMON_CLOCK }
 	:: atomic { !suspended && reading && sampled ->
 		reading = false;
-		known = true;
-		viewRevoked = sample;
+		hasView = true;
+		viewRevoked = sampledRevoked;
 #ifdef AGE_FROM_ANSWER
-		confirmedAt = CLOCK
+		confirmedAt = DAEMON_CLOCK
 #else
-		confirmedAt = sentAt
+		confirmedAt = readSentAt
 #endif
 	}
-	:: atomic { !suspended && known && !viewRevoked && CLOCK - confirmedAt <= LIMIT ->
-		assert(!revoked || now - revokedAt <= BOUND)
+	:: atomic { !suspended && hasView && !viewRevoked && DAEMON_CLOCK - confirmedAt <= MAX_AGE ->
+		assert(!revoked || now - revokedAt <= REVOCATION_BOUND)
 	}
-	:: now >= END -> break
+	:: now >= MAX_TIME -> break
 	od
 }
--- a/model/config.pml
+++ b/model/config.pml
@@ -1,13 +1,14 @@
 /*
- * The config stream (src/state/config-table.ts, src/coordination/config-follower.ts):
- * operators append records based on the version some gateway showed them, perhaps
- * stale, and append again when an answer is lost; every gateway applies the log in
- * offset order and accepts a record only when its base is the version in force.
+ * The stream of configuration records (src/state/config-table.ts,
+ * src/coordination/config-follower.ts): operators append records based on the version,
+ * possibly stale, that some gateway showed them, and append again when an answer is lost.
+ * Each gateway applies the log in offset order and accepts a record only if its base is
+ * the version in force.
  *
- * Checked: every gateway decides each record alike; at most one record wins a base;
- * a gateway's version only rises.
+ * Properties: all gateways decide alike on each record; at most one record on each base is
+ * accepted; a gateway's version only rises.
  *
- * -DACCEPT_ANY models a broken reader that accepts every record, and must fail.
+ * -DACCEPT_ANY models a faulty reader that accepts every record; its check must fail.
  */
 #define READERS 3
 #define OPERATORS 2
@@ -15,8 +16,8 @@
 
 byte logBase[MAX_LOG];  /* base + 1, so that the first base, -1, is 0 */
 byte logLength = 0;
-byte decided[MAX_LOG];  /* 0 not yet, 1 accepted, 2 rejected */
-byte winners[MAX_LOG + 1];
+byte agreedDecision[MAX_LOG];  /* 0: not yet decided, 1: accepted, 2: rejected */
+byte acceptedCount[MAX_LOG + 1];
 short version[READERS];
 
 proctype Operator() {
@@ -25,40 +26,40 @@
 	select(from : 0 .. READERS - 1);
 	base = version[from];
 	atomic { logLength < MAX_LOG -> logBase[logLength] = base + 1; logLength++ };
-	/* The answer was lost: the operator appends the same record again. */
+	/* If the answer was lost, the operator appends the same record again. */
 	if
 	:: atomic { logLength < MAX_LOG -> logBase[logLength] = base + 1; logLength++ }
 	:: skip
 	fi
 }
 
-proctype Reader(byte me) {
+proctype Reader(byte id) {
 	byte next = 0;
-	byte mine;
+	byte decision;
 end:
 	do
 	:: next < logLength ->
 #ifdef ACCEPT_ANY
-		mine = 1;
+		decision = 1;
 #else
 		if
-		:: logBase[next] == version[me] + 1 -> mine = 1
-		:: else -> mine = 2
+		:: logBase[next] == version[id] + 1 -> decision = 1
+		:: else -> decision = 2
 		fi;
 #endif
 		atomic {
 			if
-			:: decided[next] == 0 ->
-				decided[next] = mine;
+			:: agreedDecision[next] == 0 ->
+				agreedDecision[next] = decision;
 				if
-				:: mine == 1 -> winners[logBase[next]]++; assert(winners[logBase[next]] <= 1)
+				:: decision == 1 -> acceptedCount[logBase[next]]++; assert(acceptedCount[logBase[next]] <= 1)
 				:: else -> skip
 				fi
-			:: else -> assert(decided[next] == mine)
+			:: else -> assert(agreedDecision[next] == decision)
 			fi
 		}
 		if
-		:: mine == 1 -> assert(next > version[me]); version[me] = next
+		:: decision == 1 -> assert(next > version[id]); version[id] = next
 		:: else -> skip
 		fi;
 		next++
--- a/model/duties.pml
+++ b/model/duties.pml
@@ -1,82 +1,83 @@
 /*
- * The singleton duties of two daemons over the platform's store. A claim is appended only
- * where the claimer read the topic's end, so claims have one order. A daemon acts while a
- * read that confirmed its claim was sent at most CONFIRMED ago, and a new holder keeps
- * quiet for QUIET after its claim. Time runs in steps of about a second.
+ * The singleton duties of two daemons, held by a lease in the platform's store. A claim is
+ * appended only at the topic's end that the claimer has read, so claims have one order. A
+ * daemon acts while the last read that confirmed its claim was sent at most
+ * MAX_CONFIRMATION_AGE ago, and a new holder doesn't act for QUIET_TIME after its claim.
+ * Time runs in steps of about a second.
  *
- * Property: no daemon acts on both sides of another within LEASE, and no claim shares its
- * token with another. NO_QUIET lets a new holder act at once, NO_CONFIRM lets a holder act
- * on any view: both must fail.
+ * Properties: if the other daemon acts between two acts of a daemon, these are more than
+ * LEASE apart; no two claims have the same token. NO_QUIET lets a new holder act at once,
+ * NO_CONFIRM lets a holder act on a view of any age: the check of both must fail.
  */
 #define LEASE 3
-#define CONFIRMED 1
-#define END 9
+#define MAX_CONFIRMATION_AGE 1
+#define MAX_TIME 9
 #ifdef NO_QUIET
-#define QUIET 0
+#define QUIET_TIME 0
 #else
-#define QUIET 4
+#define QUIET_TIME 4
 #endif
 
 byte now = 0;
-byte end = 0;
+byte topicEnd = 0;
 byte holder = 2;
 
-byte lastAct[2];
-bool acted[2];
-bool otherSince[2];
+byte lastActAt[2];
+bool hasActed[2];
+bool otherActedSince[2];
 
-active proctype Time() {
+active proctype Clock() {
 	do
-	:: now < END -> now++
-	:: now >= END -> break
+	:: now < MAX_TIME -> now++
+	:: now >= MAX_TIME -> break
 	od
 }
 
 inline act() {
-	assert(!(acted[me] && otherSince[me]) || now - lastAct[me] > LEASE);
-	acted[me] = true;
-	lastAct[me] = now;
-	otherSince[me] = false;
-	otherSince[1 - me] = true
+	assert(!(hasActed[id] && otherActedSince[id]) || now - lastActAt[id] > LEASE);
+	hasActed[id] = true;
+	lastActAt[id] = now;
+	otherActedSince[id] = false;
+	otherActedSince[1 - id] = true
 }
 
-proctype Daemon(byte me) {
-	byte next = 0;
+proctype Daemon(byte id) {
+	byte readEnd = 0;
 	byte viewHolder = 2;
 	byte confirmedAt = 0;
 	byte quietUntil = 0;
-	byte sentAt = 0;
+	byte readSentAt = 0;
 	bool reading = false;
 	do
 	/*
-	 * A read is sent, and sampled by the store later. An answer that comes later still only
-	 * confirms an older moment, and one that knows less than the daemon is dropped, so the
-	 * answer is taken with the sample.
+	 * A read is sent, and later sampled by the store. Taking the answer in the same step as
+	 * the sample covers all cases: a later answer still confirms only the moment of sending,
+	 * and an answer that is older than the daemon's view is dropped.
 	 */
-	:: atomic { now < END && !reading -> reading = true; sentAt = (viewHolder == me -> now : 0) }
+	:: atomic { now < MAX_TIME && !reading -> reading = true; readSentAt = (viewHolder == id -> now : 0) }
 	:: atomic { reading ->
 		reading = false;
-		next = end;
+		readEnd = topicEnd;
 		viewHolder = holder;
-		confirmedAt = (viewHolder == me -> sentAt : 0);
-		quietUntil = (viewHolder == me -> quietUntil : 0);
-		sentAt = 0
+		confirmedAt = (viewHolder == id -> readSentAt : 0);
+		quietUntil = (viewHolder == id -> quietUntil : 0);
+		readSentAt = 0
 	}
-	/* Somebody suspects the holder: it claims where it read the end. */
-	:: atomic { now < END && viewHolder != me && end == next && end < 3 ->
-		end++;
-		holder = me;
-		next = end;
-		viewHolder = me;
+	/* A daemon suspects the holder and claims the lease at the end that it has read. */
+	:: atomic { now < MAX_TIME && viewHolder != id && topicEnd == readEnd && topicEnd < 3 ->
+		topicEnd++;
+		holder = id;
+		readEnd = topicEnd;
+		viewHolder = id;
 		confirmedAt = now;
-		quietUntil = now + (end == 1 -> 0 : QUIET)
+		quietUntil = now + (topicEnd == 1 -> 0 : QUIET_TIME)
 	}
 #ifdef NO_CONFIRM
-	:: atomic { now < END && viewHolder == me && now >= quietUntil -> act() }
+	:: atomic { now < MAX_TIME && viewHolder == id && now >= quietUntil -> act() }
 #else
-	:: atomic { now < END && viewHolder == me && now >= quietUntil && now - confirmedAt <= CONFIRMED -> act() }
+	:: atomic { now < MAX_TIME && viewHolder == id && now >= quietUntil && now - confirmedAt <= MAX_CONFIRMATION_AGE -> act() }
 #endif
-	:: now >= END -> break
+	:: now >= MAX_TIME -> break
 	od
 }
 
--- a/model/lease.pml
+++ b/model/lease.pml
@@ -1,15 +1,15 @@
 /*
  * The controller lease (src/state/lease-table.ts, src/coordination/lease.ts): gateways
  * append claims and renewals that name the record they follow; a record counts only if
- * that is the last one that counted. The holder orders until LEASE after it sent the
- * last of its records that counted; others claim LEASE after they read the last record
- * that counted. An append may land any time after it was sent, time may pass between any
- * two steps (a pause), and reading lags.
+ * the record that it names is the last one that counted. The holder issues orders until
+ * LEASE after it sent the last of its records that counted; others may claim the lease
+ * LEASE after they read the last record that counted. A record may be appended any time
+ * after it was sent, time may pass between any two steps (a pause), and reads lag behind.
  *
- * Checked: no gateway gives an order under a lower fencing token than one already used.
+ * Property: no gateway issues an order under a lower fencing token than one already used.
  *
- * -DNO_EXPIRY models a holder that does not look at its clock, and must fail.
- * -DNO_WAIT models gateways that claim without waiting, and must fail.
+ * -DNO_EXPIRY models a holder that doesn't check its clock; its check must fail.
+ * -DNO_WAIT models gateways that claim without waiting; its check must fail.
  */
 #define GATEWAYS 2
 #define LEASE 2
@@ -21,7 +21,7 @@
 byte logHolder[MAX_LOG];
 byte logBase[MAX_LOG];   /* base + 1 */
 byte logToken[MAX_LOG];  /* NONE for a claim */
-byte logSent[MAX_LOG];
+byte logSentAt[MAX_LOG];
 byte logLength = 0;
 byte highestToken = 0;   /* + 1; 0 for none */
 
@@ -32,55 +32,55 @@
 	od
 }
 
-proctype Gateway(byte me) {
+proctype Gateway(byte id) {
 	byte next = 0;
-	byte last = 0;        /* + 1 */
+	byte lastCounted = 0;        /* offset + 1; 0 for none */
 	byte token = NONE;    /* of the lease in force */
 	byte holder = NONE;
-	byte lastRead = 0;
-	byte heldSince = 0;
-	bool isSending = false;
-	byte sendBase = 0;
-	byte sendToken = NONE;
-	byte sendAt = 0;
+	byte lastCountedReadAt = 0;
+	byte leaseStart = 0;
+	bool isPending = false;
+	byte pendingBase = 0;
+	byte pendingToken = NONE;
+	byte pendingSentAt = 0;
 end:
 	do
 	:: atomic { next < logLength ->
 		if
-		:: logBase[next] == last ->
-			last = next + 1;
+		:: logBase[next] == lastCounted ->
+			lastCounted = next + 1;
 			holder = logHolder[next];
-			lastRead = now;
+			lastCountedReadAt = now;
 			if
 			:: logToken[next] == NONE -> token = next
 			:: else -> token = logToken[next]
 			fi;
 			if
-			:: holder == me -> heldSince = logSent[next]
-			:: else -> heldSince = 0
+			:: holder == id -> leaseStart = logSentAt[next]
+			:: else -> leaseStart = 0
 			fi
 		:: else -> skip
 		fi;
 		next++ }
-	/* A claim, once the lease has lapsed by this gateway's own clock. */
+	/* Sends a claim once the lease has expired by this gateway's own clock. */
 #ifdef NO_WAIT
-	:: atomic { !isSending && holder != me -> isSending = true; sendBase = last; sendToken = NONE; sendAt = now }
+	:: atomic { !isPending && holder != id -> isPending = true; pendingBase = lastCounted; pendingToken = NONE; pendingSentAt = now }
 #else
-	:: atomic { !isSending && (holder == NONE || now >= lastRead + LEASE) ->
-		isSending = true; sendBase = last; sendToken = NONE; sendAt = now }
+	:: atomic { !isPending && (holder == NONE || now >= lastCountedReadAt + LEASE) ->
+		isPending = true; pendingBase = lastCounted; pendingToken = NONE; pendingSentAt = now }
 #endif
-	/* A renewal by the holder. */
-	:: atomic { !isSending && holder == me && now < heldSince + LEASE ->
-		isSending = true; sendBase = last; sendToken = token; sendAt = now }
-	/* What was sent lands. */
-	:: atomic { isSending && logLength < MAX_LOG ->
-		logHolder[logLength] = me; logBase[logLength] = sendBase; logToken[logLength] = sendToken; logSent[logLength] = sendAt;
-		logLength++; isSending = false; sendBase = 0; sendToken = NONE; sendAt = 0 }
-	/* An order: the clock is read and the order written in one step. */
+	/* Sends a renewal as the holder. */
+	:: atomic { !isPending && holder == id && now < leaseStart + LEASE ->
+		isPending = true; pendingBase = lastCounted; pendingToken = token; pendingSentAt = now }
+	/* The pending record is appended to the log. */
+	:: atomic { isPending && logLength < MAX_LOG ->
+		logHolder[logLength] = id; logBase[logLength] = pendingBase; logToken[logLength] = pendingToken; logSentAt[logLength] = pendingSentAt;
+		logLength++; isPending = false; pendingBase = 0; pendingToken = NONE; pendingSentAt = 0 }
+	/* Issues an order: the check of the clock and the order are one step. */
 #ifdef NO_EXPIRY
-	:: atomic { holder == me ->
+	:: atomic { holder == id ->
 #else
-	:: atomic { holder == me && now < heldSince + LEASE ->
+	:: atomic { holder == id && now < leaseStart + LEASE ->
 #endif
 		assert(token + 1 >= highestToken);
 		highestToken = token + 1 }
--- a/model/quarantine.pml
+++ b/model/quarantine.pml
@@ -1,94 +1,96 @@
 /*
- * What daemons know of a request under which backend servers ended. Each tells the others
- * which ended and when a run last completed; messages are copied, lost and delayed at will,
- * and passed on by who hears them. Times are those of the events, as ages carry them.
+ * What daemons know of the backend servers that crashed under one request. Each daemon
+ * tells the others which servers crashed and when a run of the request last completed;
+ * messages may be duplicated, lost and delayed, and receivers pass them on. All times are
+ * those of the events themselves, as the ages in the messages tell them.
  *
- * Properties: a daemon counts no more ends than there were, and none before a completed run
- * that it knows of. COUNT_MESSAGES adds up what messages say, IGNORE_CLEARED takes ends from
- * before the completed run again: both must fail.
+ * Properties: a daemon counts no more crashes than there were, and none from before a
+ * completed run that it knows of. COUNT_MESSAGES counts each message that tells of a crash,
+ * IGNORE_CLEARED records crashes again that are older than the completed run: the check of
+ * both must fail.
  */
 #define DAEMONS 2
 #define BACKENDS 2
-#define END 4
+#define MAX_TIME 4
 
 byte now = 1;
-/* When each backend server ended under the request, 0 where it has not. */
-byte endedAt[BACKENDS];
-byte ends = 0;
+/* The time when each backend server crashed under the request, 0 if it has not. */
+byte crashedAt[BACKENDS];
+byte crashCount = 0;
 
-/* What each daemon knows: ends by backend server, their count, and the last completed run. */
-bool known[DAEMONS * BACKENDS];
-byte counted[DAEMONS];
+/* Per daemon: the known crashes by backend server, their count, and the time of the last completed run. */
+bool isCrashKnown[DAEMONS * BACKENDS];
+byte countedCrashes[DAEMONS];
 byte clearedAt[DAEMONS];
 
-/* One message on its way; taking it leaves it there, so that it is heard again. */
-bool sent = false;
-bool saidKnown[BACKENDS];
-byte saidClearedAt = 0;
+/* The one message in transit; receiving it doesn't remove it, so it may be received again. */
+bool isSent = false;
+bool sentCrashKnown[BACKENDS];
+byte sentClearedAt = 0;
 
-#define KNOWN(daemon, backend) known[(daemon) * BACKENDS + (backend)]
+#define CRASH_KNOWN(daemon, backend) isCrashKnown[(daemon) * BACKENDS + (backend)]
 
-inline forgetCleared(daemon) {
-	byte old;
-	for (old : 0 .. BACKENDS - 1) {
+inline dropClearedCrashes(daemon) {
+	byte candidate;
+	for (candidate : 0 .. BACKENDS - 1) {
 		if
-		:: KNOWN(daemon, old) && endedAt[old] <= clearedAt[daemon] -> KNOWN(daemon, old) = false; counted[daemon]--
+		:: CRASH_KNOWN(daemon, candidate) && crashedAt[candidate] <= clearedAt[daemon] -> CRASH_KNOWN(daemon, candidate) = false; countedCrashes[daemon]--
 		:: else
 		fi
 	}
 }
 
-inline learn(daemon, backend) {
+inline recordCrash(daemon, backend) {
 	if
 #ifdef COUNT_MESSAGES
-	:: true -> KNOWN(daemon, backend) = true; counted[daemon]++
+	:: true -> CRASH_KNOWN(daemon, backend) = true; countedCrashes[daemon]++
 #else
 #ifdef IGNORE_CLEARED
-	:: !KNOWN(daemon, backend) -> KNOWN(daemon, backend) = true; counted[daemon]++
+	:: !CRASH_KNOWN(daemon, backend) -> CRASH_KNOWN(daemon, backend) = true; countedCrashes[daemon]++
 #else
-	:: !KNOWN(daemon, backend) && endedAt[backend] > clearedAt[daemon] -> KNOWN(daemon, backend) = true; counted[daemon]++
+	:: !CRASH_KNOWN(daemon, backend) && crashedAt[backend] > clearedAt[daemon] -> CRASH_KNOWN(daemon, backend) = true; countedCrashes[daemon]++
 #endif
 	:: else
 #endif
 	fi
 }
 
-active proctype Time() {
+active proctype Clock() {
 	do
-	:: now < END -> now++
-	:: now >= END -> break
+	:: now < MAX_TIME -> now++
+	:: now >= MAX_TIME -> break
 	od
 }
 
 active [DAEMONS] proctype Daemon() {
-	byte each;
+	byte server;
 	do
-	/* A backend server ends under the request, which ran here. */
-	:: atomic { ends < BACKENDS && now < END -> endedAt[ends] = now; ends++; learn(_pid - 1, ends - 1) }
-	/* A run completes here. */
-	:: atomic { clearedAt[_pid - 1] < now && now < END -> clearedAt[_pid - 1] = now; forgetCleared(_pid - 1) }
-	:: atomic { now < END ->
-		sent = true;
-		saidClearedAt = clearedAt[_pid - 1];
-		for (each : 0 .. BACKENDS - 1) { saidKnown[each] = KNOWN(_pid - 1, each) }
+	/* A backend server crashes under the request, which this daemon had sent to it. */
+	:: atomic { crashCount < BACKENDS && now < MAX_TIME -> crashedAt[crashCount] = now; crashCount++; recordCrash(_pid - 1, crashCount - 1) }
+	/* A run completes at this daemon. */
+	:: atomic { clearedAt[_pid - 1] < now && now < MAX_TIME -> clearedAt[_pid - 1] = now; dropClearedCrashes(_pid - 1) }
+	:: atomic { now < MAX_TIME ->
+		isSent = true;
+		sentClearedAt = clearedAt[_pid - 1];
+		for (server : 0 .. BACKENDS - 1) { sentCrashKnown[server] = CRASH_KNOWN(_pid - 1, server) }
 	}
-	:: atomic { sent && now < END ->
+	:: atomic { isSent && now < MAX_TIME ->
 		if
-		:: saidClearedAt > clearedAt[_pid - 1] -> clearedAt[_pid - 1] = saidClearedAt; forgetCleared(_pid - 1)
+		:: sentClearedAt > clearedAt[_pid - 1] -> clearedAt[_pid - 1] = sentClearedAt; dropClearedCrashes(_pid - 1)
 		:: else
 		fi;
-		for (each : 0 .. BACKENDS - 1) {
+		for (server : 0 .. BACKENDS - 1) {
 			if
-			:: saidKnown[each] -> learn(_pid - 1, each)
+			:: sentCrashKnown[server] -> recordCrash(_pid - 1, server)
 			:: else
 			fi
 		}
 	}
-	:: atomic { counted[_pid - 1] > 0 ->
-		assert(counted[_pid - 1] <= ends);
-		for (each : 0 .. BACKENDS - 1) { assert(!KNOWN(_pid - 1, each) || endedAt[each] > clearedAt[_pid - 1]) }
+	:: atomic { countedCrashes[_pid - 1] > 0 ->
+		assert(countedCrashes[_pid - 1] <= crashCount);
+		for (server : 0 .. BACKENDS - 1) { assert(!CRASH_KNOWN(_pid - 1, server) || crashedAt[server] > clearedAt[_pid - 1]) }
 		break
 	}
-	:: now >= END -> break
+	:: now >= MAX_TIME -> break
 	od
 }
--- a/model/relayed.pml
+++ b/model/relayed.pml
@@ -1,33 +1,33 @@
 /*
- * What a daemon may believe that does not read the store but asks a relay. The relay reads
- * the store and knows as of when its view was current: when its last answered read was
- * sent. Its answer says how old that is and how far its view reaches. The daemon takes its
- * own view to be as old, counted from when it asked, if it reaches as far. Messages take
- * any time, and so does each step of either process: a VM that is suspended is one whose
- * next step takes long.
+ * How long a daemon may serve requests by its view of the configuration if it asks a relay
+ * instead of reading the store. The relay reads the store; its view was current when it
+ * sent its last read that was answered. Its answer tells the age of its view and how far in
+ * the topic the view reaches. If the daemon's own view reaches as far, the daemon takes it
+ * to be of the same age, counted from when it asked. Messages and the steps of all processes
+ * take any time; a suspended VM is one whose next step takes long.
  *
- * Property: no request is served that arrives more than BOUND after the revocation.
- * AGE_FROM_RECEIPT counts from when the answer came, IGNORE_MISSING confirms a view that
- * lacks what the relay has read: both must fail.
+ * Property: no request is served that arrives more than REVOCATION_BOUND after the
+ * revocation. AGE_FROM_RECEIPT counts the age from when the answer arrived, IGNORE_MISSING
+ * confirms a view that lacks a record which the relay has read: the check of both must fail.
  */
-#define LIMIT 2
-#define BOUND 3
-#define END 6
+#define MAX_AGE 2
+#define REVOCATION_BOUND 3
+#define MAX_TIME 6
 
 byte now = 0;
 bool revoked = false;
 byte revokedAt = 0;
 
-/* The relay's read of the store, and its view. */
+/* The relay's read of the store, and the relay's view. */
 bool reading = false;
 bool sampled = false;
-bool sample = false;
-byte sentAt = 0;
-bool relayKnown = false;
+bool sampledRevoked = false;
+byte readSentAt = 0;
+bool hasRelayView = false;
 bool relayRevoked = false;
 byte relayConfirmedAt = 0;
 
-/* The daemon's question and the relay's answer on their way. */
+/* The daemon's question and the relay's answer in transit. */
 bool asking = false;
 bool answered = false;
 byte askedAt = 0;
@@ -35,14 +35,14 @@
 bool answerRevoked = false;
 
 /* The daemon's own view: it has read the configuration once, before the revocation. */
-bool known = false;
+bool hasView = false;
 byte confirmedAt = 0;
 bool viewRevoked = false;
 
-active proctype Time() {
+active proctype Clock() {
 	do
-	:: now < END -> now++
-	:: now >= END -> break
+	:: now < MAX_TIME -> now++
+	:: now >= MAX_TIME -> break
 	od
 }
 
@@ -52,26 +52,26 @@
 
 active proctype Store() {
 	do
-	:: atomic { reading && !sampled -> sample = revoked; sampled = true }
-	:: now >= END -> break
+	:: atomic { reading && !sampled -> sampledRevoked = revoked; sampled = true }
+	:: now >= MAX_TIME -> break
 	od
 }
 
 active proctype Relay() {
 	do
-	:: atomic { !reading -> reading = true; sampled = false; sentAt = now }
+	:: atomic { !reading -> reading = true; sampled = false; readSentAt = now }
 	:: atomic { reading && sampled ->
 		reading = false;
-		relayKnown = true;
-		relayRevoked = sample;
-		relayConfirmedAt = sentAt
+		hasRelayView = true;
+		relayRevoked = sampledRevoked;
+		relayConfirmedAt = readSentAt
 	}
-	:: atomic { asking && !answered && relayKnown ->
+	:: atomic { asking && !answered && hasRelayView ->
 		answered = true;
 		answerAge = now - relayConfirmedAt;
 		answerRevoked = relayRevoked
 	}
-	:: now >= END -> break
+	:: now >= MAX_TIME -> break
 	od
 }
 
@@ -82,12 +82,12 @@
 		asking = false;
 		if
 #ifndef IGNORE_MISSING
-		/* The relay has read a record that this view lacks. */
+		/* The relay has read a record that this view lacks, so the view is not confirmed. */
 		:: answerRevoked && !viewRevoked -> skip
 #endif
 #ifdef AGE_FROM_RECEIPT
 		:: (!answerRevoked || viewRevoked) && now >= answerAge ->
-			known = true;
+			hasView = true;
 			confirmedAt = now - answerAge
 #else
 #ifdef IGNORE_MISSING
@@ -95,15 +95,15 @@
 #else
 		:: (!answerRevoked || viewRevoked) && askedAt >= answerAge ->
 #endif
-			known = true;
+			hasView = true;
 			confirmedAt = askedAt - answerAge
 #endif
 		:: else -> skip
 		fi
 	}
-	:: atomic { known && !viewRevoked && now - confirmedAt <= LIMIT ->
-		assert(!revoked || now - revokedAt <= BOUND)
+	:: atomic { hasView && !viewRevoked && now - confirmedAt <= MAX_AGE ->
+		assert(!revoked || now - revokedAt <= REVOCATION_BOUND)
 	}
-	:: now >= END -> break
+	:: now >= MAX_TIME -> break
 	od
 }
