--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,9 +1,11 @@
-// Bundles the command line into one CommonJS file of plain JavaScript, dist/sesametally.cjs unless another is named; with --code-cache it starts from compiled code.
+// Bundles the command line program into one CommonJS file, by default dist/sesametally.cjs.
+// With --code-cache, the bundle starts from a V8 code cache; see code-cache.mjs.
+// Usage: node scripts/bundle.mjs [--code-cache] [FILE]
 import process from 'node:process';
 import {build} from 'esbuild';
 import {addCodeCache} from './code-cache.mjs';
 
-const withCodeCache = process.argv.includes('--code-cache');
+const shouldAddCodeCache = process.argv.includes('--code-cache');
 const outfile = process.argv.slice(2).find(argument => !argument.startsWith('--')) ?? 'dist/sesametally.cjs';
 
 await build({
@@ -15,9 +17,9 @@
 	outfile,
 	sourcemap: 'linked',
 	logLevel: 'warning',
-	// The optional native part of msgpackr cannot ride in a single executable; it runs in pure JavaScript.
+	// The optional native addon of msgpackr can't be embedded in a single executable; msgpackr falls back to JavaScript.
 	external: ['msgpackr-extract'],
 });
-if (withCodeCache) {
+if (shouldAddCodeCache) {
 	addCodeCache(outfile);
 }
--- a/scripts/capacity.mjs
+++ b/scripts/capacity.mjs
@@ -1,8 +1,9 @@
-// Measures the slopes behind docs/CAPACITY.md with the stand-ins on this machine, and prints them as JSON.
-// Each experiment starts its own local stack on loopback, drives it with `sesametally bench`
-// or admin calls, reads each process's /debug/state, and stops the stack.
+// Measures the costs per gateway, request, token and VM that docs/CAPACITY.md uses, with the stand-ins on this
+// machine, and prints them as JSON.
+// Each experiment starts its own local stack on loopback, sends it load with `sesametally bench` or admin calls,
+// reads /debug/state of the processes, and stops the stack.
 // Usage: node scripts/capacity.mjs [NAME,NAME|all] [--out reports/capacity.json]
-// CAPACITY_COUNTS=3,9 narrows the gateway counts of `peers`, `config` and `log`.
+// CAPACITY_COUNTS=3,9 sets the gateway counts of `peers` and `config`; CAPACITY_VERBOSE shows the processes' output.
 import process from 'node:process';
 import {mkdirSync, writeFileSync} from 'node:fs';
 import path from 'node:path';
@@ -15,10 +16,10 @@
 const experiments = {
 	overhead, gateway, peers, config, records, tracked, log, controller, reclaim, stops,
 };
-const which = process.argv[2] ?? 'all';
+const selection = process.argv[2] ?? 'all';
 const outIndex = process.argv.indexOf('--out');
 const results = {};
-for (const name of which === 'all' ? Object.keys(experiments) : which.split(',')) {
+for (const name of selection === 'all' ? Object.keys(experiments) : selection.split(',')) {
 	process.stderr.write(`capacity: running ${name}\n`);
 	// eslint-disable-next-line no-await-in-loop
 	results[name] = await experiments[name]();
--- a/scripts/code-cache.mjs
+++ b/scripts/code-cache.mjs
@@ -1,20 +1,21 @@
 /**
- * Makes a bundle start from compiled code: it becomes OUT.main.cjs, with V8's code cache of
- * what a serving daemon runs at its start beside it, and OUT itself loads both. After a
- * restart compiling was 100 of the 250 ms of processor time until the daemon's ports opened.
- * The cache counts only for the same Node and V8 flags; otherwise the code is compiled as usual.
+ * Makes a bundle start from a V8 code cache: the bundle is moved to OUT.main.cjs, with a code
+ * cache of the functions that a serving daemon runs at its start beside it, and OUT itself
+ * becomes a launcher that loads both. Without the cache, compiling takes 100 of the 250 ms of
+ * CPU time until the ports of a restarted daemon are open. V8 accepts the cache only under the
+ * same Node.js version and V8 flags; otherwise it compiles the code as usual.
  */
 import {copyFileSync, renameSync} from 'node:fs';
 import {execFileSync} from 'node:child_process';
 import process from 'node:process';
 
-/** The V8 flags that the deploy file runs the daemon with. */
-const flags = ['--max-old-space-size=160', '--max-semi-space-size=4'];
+/** The V8 flags that deploy/system.toml starts the daemon with. */
+const v8Flags = ['--max-old-space-size=160', '--max-semi-space-size=4'];
 
-/** Puts a launcher in the place of a bundle. */
-export function addCodeCache(bundle) {
-	const main = bundle.replace(/\.cjs$/v, '.main.cjs');
-	renameSync(bundle, main);
-	copyFileSync('scripts/launcher.cjs', bundle);
-	execFileSync(process.execPath, [...flags, 'scripts/warm-up.cjs', main], {stdio: ['ignore', 'ignore', 'inherit']});
+/** Replaces a bundle with a launcher, and writes the code cache of the bundle. */
+export function addCodeCache(bundleFile) {
+	const mainFile = bundleFile.replace(/\.cjs$/v, '.main.cjs');
+	renameSync(bundleFile, mainFile);
+	copyFileSync('scripts/launcher.cjs', bundleFile);
+	execFileSync(process.execPath, [...v8Flags, 'scripts/warm-up.cjs', mainFile], {stdio: ['ignore', 'ignore', 'inherit']});
 }
--- a/scripts/experiments/controller.mjs
+++ b/scripts/experiments/controller.mjs
@@ -1,7 +1,7 @@
-// What the controller role costs its holder as the VM count grows.
+// Measures the CPU and memory that the controller costs the holder of its lease, as the number of VMs grows.
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	operatorToken, postJson, state, withStack,
+	operatorToken, postJson, readState, withStack,
 } from './harness.mjs';
 
 const passMs = 500;
@@ -21,10 +21,10 @@
 	},
 };
 
-async function cpuOver(admin) {
-	const before = await state(admin);
+async function measureCpu(admin) {
+	const before = await readState(admin);
 	await delay(windowSeconds * 1000);
-	const after = await state(admin);
+	const after = await readState(admin);
 	return {
 		cpuCoreShare: (after.process.cpuUs - before.process.cpuUs) / 1e6 / windowSeconds,
 		passes: after.state.controller.passes - before.state.controller.passes,
@@ -32,7 +32,7 @@
 	};
 }
 
-async function controllerOnce(count) {
+async function measureController(count) {
 	const vms = Array.from({length: count}, (_, index) => ({
 		name: `vm-x${index}`,
 		url: 'http://127.0.0.1:9',
@@ -50,21 +50,21 @@
 	return withStack({basePort: 17_000, settleMs: 4000, topology}, async ({stack}) => {
 		const admin = stack.gateways[0].adminUrl;
 		await postJson(`${admin}/admin/presets`, {preset}, operatorToken);
-		const withoutFleet = await cpuOver(admin);
+		const withoutFleet = await measureCpu(admin);
 		await postJson(`${admin}/admin/activate`, {name: preset.name}, operatorToken);
-		const withFleet = await cpuOver(admin);
+		const withFleet = await measureCpu(admin);
 		return {
 			vms: count, passMs, withoutFleet, withFleet,
 		};
 	});
 }
 
-/** CPU and memory of the lease holder against the number of VMs in the cloud's list. */
-export async function controller(counts = [16, 128, 512, 1900]) {
+/** Measures CPU and memory of the lease holder for several numbers of VMs in the cloud's list. */
+export async function controller(vmCounts = [16, 128, 512, 1900]) {
 	const results = [];
-	for (const count of counts) {
+	for (const count of vmCounts) {
 		// eslint-disable-next-line no-await-in-loop
-		results.push(await controllerOnce(count));
+		results.push(await measureController(count));
 	}
 
 	return {results};
--- a/scripts/experiments/failures.mjs
+++ b/scripts/experiments/failures.mjs
@@ -1,36 +1,36 @@
-// Reclaim waves and planned stops under load: what callers see, and what is recomputed.
+// Measures reclaim waves and planned stops under load: the answers that clients get, and the tokens that are recomputed.
 import {waitUntil} from '../stack.mjs';
 import {
-	bench, getJson, loadExperiment, mean, postJson, state, withStack,
+	runBench, getJson, loadExperiment, mean, postJson, readState, withStack,
 } from './harness.mjs';
 
 const reclaimNoticeMs = 3000;
 const engineCount = 6;
 const reclaimedDomain = 'fd-a';
 
-function engineUrls(basePort) {
+function listEngineUrls(basePort) {
 	return Array.from({length: engineCount}, (_, index) => `http://127.0.0.1:${basePort + 100 + index}`);
 }
 
-/** What the gateways and engines saw of a wave, in milliseconds since its notice. */
-async function readWave(stack, engines) {
-	const dumps = await Promise.all(stack.gateways.map(async gateway => state(gateway.adminUrl)));
-	const total = key => mean(dumps.map(dump => dump.state.completions[key])) * dumps.length;
+/** Reads what the gateways and engines recorded of a reclaim wave; times are in milliseconds since its notice. */
+async function readReclaimOutcome(stack, engineUrls) {
+	const dumps = await Promise.all(stack.gateways.map(async gateway => readState(gateway.adminUrl)));
+	const sumOf = key => mean(dumps.map(dump => dump.state.completions[key])) * dumps.length;
 	const leaving = dumps.flatMap(dump => dump.state.backendServers.filter(entry => entry.failureDomain === reclaimedDomain));
 	const cloud = await getJson(`${stack.cloudUrl}/debug/state`);
 	const [{noticedAtMs}] = cloud.state.notices;
-	const reclaimed = await Promise.all([0, 3].map(async index => getJson(`${engines[index]}/debug/state`)));
+	const reclaimed = await Promise.all([0, 3].map(async index => getJson(`${engineUrls[index]}/debug/state`)));
 	return {
-		moves: total('moves'),
-		kvMoves: total('kvMoves'),
-		resumes: total('resumes'),
+		moves: sumOf('moves'),
+		kvMoves: sumOf('kvMoves'),
+		resumes: sumOf('resumes'),
 		learnedAfterMsMax: Math.max(...leaving.map(entry => entry.learnedAtMs - noticedAtMs)),
 		lastNewWorkAfterMs: Math.max(...reclaimed.map(dump => dump.state.lastCompletionMs - noticedAtMs)),
 	};
 }
 
-/** One wave over a failure domain of three, with engines that export their KV cache or refuse to. */
-async function reclaimOnce(kvExport) {
+/** Reclaims one of three failure domains, with engines that export their KV cache or refuse to. */
+async function measureReclaim(kvExport) {
 	const basePort = 27_000;
 	const topology = {
 		gateways: 3,
@@ -39,15 +39,15 @@
 		tpotMs: 20,
 	};
 	return withStack({basePort, topology}, async ({stack, dir}) => {
-		const engines = engineUrls(basePort);
-		await Promise.all(engines.map(async url => postJson(`${url}/admin/faults`, {refuseExport: !kvExport}, '')));
-		const wave = {
+		const engineUrls = listEngineUrls(basePort);
+		await Promise.all(engineUrls.map(async url => postJson(`${url}/admin/faults`, {refuseExport: !kvExport}, '')));
+		const reclaimFault = {
 			atMs: 5000,
 			action: 'reclaim',
 			url: stack.cloudUrl,
 			failureDomain: reclaimedDomain,
 		};
-		const report = bench(loadExperiment(stack.gateways[0].url, {
+		const report = runBench(loadExperiment(stack.gateways[0].url, {
 			gateways: stack.gateways.map(gateway => gateway.url),
 			gatewayAdmins: stack.gateways.map(gateway => gateway.adminUrl),
 			ratePerSecond: 20,
@@ -55,7 +55,7 @@
 			promptWords: {min: 400, max: 1200},
 			maxTokens: {min: 100, max: 300},
 			seed: 5,
-			faults: [wave],
+			faults: [reclaimFault],
 		}), dir, `reclaim-${kvExport}`);
 		return {
 			kvExport,
@@ -66,42 +66,42 @@
 			itlP99: report.itlMs.p99,
 			itlMax: report.itlMs.max,
 			recomputedTokens: report.recomputedTokens,
-			...await readWave(stack, engines),
+			...await readReclaimOutcome(stack, engineUrls),
 		};
 	});
 }
 
-/** A reclaim wave with and without KV export, alternating in one run. */
+/** Measures reclaim waves with and without KV export, in alternation. */
 export async function reclaim() {
 	const rounds = [];
 	for (const kvExport of [true, false, true, false]) {
 		// eslint-disable-next-line no-await-in-loop
-		rounds.push(await reclaimOnce(kvExport));
+		rounds.push(await measureReclaim(kvExport));
 	}
 
 	return {rounds};
 }
 
-/** SIGTERM to a gateway and to an engine under load. */
-async function stopOnce(notReadyMs) {
+/** Sends SIGTERM to a gateway and to an engine under load. */
+async function measureStops(notReadyMs) {
 	const topology = {
 		gateways: 3,
 		models: [{name: 'desk', replicas: 4}],
 		gatewaySettings: {notReadyMs},
 	};
 	return withStack({basePort: 29_000, topology}, async ({stack, dir, running}) => {
-		const childOf = name => running.children.find(child => child.name === name).child;
-		const report = bench(loadExperiment(stack.gateways[0].url, {
+		const findChild = name => running.children.find(child => child.name === name).child;
+		const report = runBench(loadExperiment(stack.gateways[0].url, {
 			gateways: stack.gateways.map(gateway => gateway.url),
 			ratePerSecond: 60,
 			durationMs: 8000,
 			maxTokens: {min: 50, max: 150},
 			faults: [
-				{atMs: 2000, action: 'terminate', pid: childOf('gateway-1').pid},
-				{atMs: 4000, action: 'terminate', pid: childOf('desk-2').pid},
+				{atMs: 2000, action: 'terminate', pid: findChild('gateway-1').pid},
+				{atMs: 4000, action: 'terminate', pid: findChild('desk-2').pid},
 			],
 		}), dir, `stops-${notReadyMs}`);
-		await waitUntil(async () => childOf('gateway-1').exitCode !== null);
+		await waitUntil(async () => findChild('gateway-1').exitCode !== null);
 		return {
 			notReadyMs,
 			sent: report.sent,
@@ -114,12 +114,12 @@
 	});
 }
 
-/** Planned stops under load, with and without the time in which `/ready` answers 503. */
+/** Measures planned stops under load, with and without the time in which `/ready` answers 503 before the stop. */
 export async function stops() {
 	const rounds = [];
 	for (const notReadyMs of [500, 0, 500, 0]) {
 		// eslint-disable-next-line no-await-in-loop
-		rounds.push(await stopOnce(notReadyMs));
+		rounds.push(await measureStops(notReadyMs));
 	}
 
 	return {rounds};
--- a/scripts/experiments/gateway.mjs
+++ b/scripts/experiments/gateway.mjs
@@ -1,10 +1,10 @@
-// What one gateway costs: its overhead, per request and token, and per engine tracked.
+// Measures what one gateway costs: its overhead over a direct connection, and its CPU and memory per request, token and tracked engine.
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	bench, loadExperiment, mean, state, withStack,
+	runBench, loadExperiment, mean, readState, withStack,
 } from './harness.mjs';
 
-/** Gateway overhead: the same load through one gateway and straight to the engine, interleaved. */
+/** Measures the gateway's overhead: the same load through one gateway and directly to the engine, in alternation. */
 export async function overhead() {
 	const basePort = 10_000;
 	return withStack({basePort}, async ({stack, dir}) => {
@@ -12,7 +12,7 @@
 		const rounds = [];
 		for (let round = 0; round < 2; round++) {
 			for (const [via, url] of [['gateway', stack.gateways[0].url], ['direct', engineUrl]]) {
-				const report = bench(loadExperiment(url, {ratePerSecond: 100, seed: 11 + round}), dir, `overhead-${via}-${round}`);
+				const report = runBench(loadExperiment(url, {ratePerSecond: 100, seed: 11 + round}), dir, `overhead-${via}-${round}`);
 				rounds.push({
 					via,
 					round,
@@ -27,28 +27,28 @@
 			}
 		}
 
-		const ratio = key => mean(rounds.filter(entry => entry.via === 'gateway').map(entry => entry[key])) / mean(rounds.filter(entry => entry.via === 'direct').map(entry => entry[key]));
+		const ratioOf = key => mean(rounds.filter(entry => entry.via === 'gateway').map(entry => entry[key])) / mean(rounds.filter(entry => entry.via === 'direct').map(entry => entry[key]));
 		return {
 			rounds,
 			ratio: {
-				goodput: ratio('goodputPerSecond'), ttftP50: ratio('ttftP50'), ttftP99: ratio('ttftP99'), itlP50: ratio('itlP50'),
+				goodput: ratioOf('goodputPerSecond'), ttftP50: ratioOf('ttftP50'), ttftP99: ratioOf('ttftP99'), itlP50: ratioOf('itlP50'),
 			},
 		};
 	});
 }
 
-/** Gateway CPU and memory per request/s and per streamed token/s. */
+/** Measures the gateway's CPU and memory at several rates of requests and of streamed tokens. */
 export async function gateway() {
 	return withStack({basePort: 13_000, topology: {models: [{name: 'desk', replicas: 2}]}}, async ({stack, dir}) => {
 		const admin = stack.gateways[0].adminUrl;
 		const points = [];
 		for (const [rate, tokens] of [[25, 16], [50, 16], [100, 16], [200, 16], [50, 64], [100, 64]]) {
 			// eslint-disable-next-line no-await-in-loop
-			const before = await state(admin);
+			const before = await readState(admin);
 			const experiment = loadExperiment(stack.gateways[0].url, {ratePerSecond: rate, maxTokens: {min: tokens, max: tokens}, seed: rate + tokens});
-			const report = bench(experiment, dir, `gateway-${rate}-${tokens}`);
+			const report = runBench(experiment, dir, `gateway-${rate}-${tokens}`);
 			// eslint-disable-next-line no-await-in-loop
-			const after = await state(admin);
+			const after = await readState(admin);
 			const seconds = report.elapsedMs / 1000;
 			points.push({
 				ratePerSecond: rate,
@@ -68,16 +68,16 @@
 	});
 }
 
-/** Gateway memory and CPU per backend server tracked. */
+/** Measures the gateway's memory and CPU for several numbers of tracked backend servers. */
 export async function tracked(counts = [2, 16, 48]) {
 	const results = [];
 	for (const count of counts) {
 		// eslint-disable-next-line no-await-in-loop
 		results.push(await withStack({basePort: 22_000, settleMs: 3000, topology: {models: [{name: 'desk', replicas: count}]}}, async ({stack}) => {
 			const admin = stack.gateways[0].adminUrl;
-			const before = await state(admin);
+			const before = await readState(admin);
 			await delay(5000);
-			const after = await state(admin);
+			const after = await readState(admin);
 			return {
 				backendServers: count,
 				cpuCoreShare: (after.process.cpuUs - before.process.cpuUs) / 1e6 / 5,
--- a/scripts/experiments/harness.mjs
+++ b/scripts/experiments/harness.mjs
@@ -1,6 +1,6 @@
-// Shared parts of the experiments: a local stack of its own per experiment, the bench as a
-// process, and reading states. Ports stay below the ephemeral range (32768 and up here),
-// where outgoing connections would take them.
+// Shared functions of the experiments: they start a local stack per experiment, run the bench as a process and read
+// the processes' states. All ports are below the ephemeral range (32768 and up), where outgoing connections could
+// already use them.
 import process from 'node:process';
 import {execFileSync} from 'node:child_process';
 import {mkdtempSync, readFileSync, writeFileSync} from 'node:fs';
@@ -11,11 +11,15 @@
 import {startStack, waitUntil, writeStackSettings} from '../stack.mjs';
 
 const binary = path.resolve('dist/sesametally.cjs');
+/** Numbers of gateways that an experiment measures, from CAPACITY_COUNTS if set. */
 export const gatewayCounts = process.env.CAPACITY_COUNTS?.split(',').map(Number) ?? [3, 9, 27, 81];
+/** Admin token of the operator team in each stack. */
 export const operatorToken = 'capacity-ops-token-0001';
+/** API key of the client account in each stack. */
 export const apiKey = 'capacity-account-key';
 
-function topology(basePort, overrides) {
+/** Creates the topology of a stack with one gateway and one engine, changed by `overrides`. */
+function createTopology(basePort, overrides) {
 	return {
 		name: 'capacity',
 		failureDomains: ['fd-a', 'fd-b', 'fd-c'],
@@ -33,11 +37,13 @@
 	};
 }
 
+/** Returns the parsed JSON that a GET answers. Throws after 5 s. */
 export async function getJson(url) {
 	const {payload} = await Wreck.get(url, {json: true, timeout: 5000});
 	return payload;
 }
 
+/** Posts JSON with a bearer token; returns the status and the parsed answer. Throws after 30 s. */
 export async function postJson(url, body, token) {
 	const response = await fetch(url, {
 		method: 'POST',
@@ -48,9 +54,13 @@
 	return {status: response.status, body: await response.json()};
 }
 
-export async function withStack(options, body) {
+/**
+ * Starts a local stack, waits until all gateways answer and `options.settleMs` milliseconds more, calls `run`, and stops
+ * the stack in any case. Throws if a gateway doesn't answer in time.
+ */
+export async function withStack(options, run) {
 	const dir = mkdtempSync(path.join(tmpdir(), 'sesametally-capacity-'));
-	const stack = writeStackSettings(topology(options.basePort, options.topology), dir);
+	const stack = writeStackSettings(createTopology(options.basePort, options.topology), dir);
 	process.stderr.write(`capacity: starting ${stack.processes.length} processes\n`);
 	const running = startStack(stack.processes, {quiet: process.env.CAPACITY_VERBOSE === undefined});
 	try {
@@ -68,13 +78,14 @@
 		}
 
 		await delay(options.settleMs ?? 1500);
-		return await body({stack, dir, running});
+		return await run({stack, dir, running});
 	} finally {
 		await running.stop();
 	}
 }
 
-export function bench(experiment, dir, name) {
+/** Runs `sesametally bench` with an experiment, using files in `dir`, and returns its report. */
+export function runBench(experiment, dir, name) {
 	const file = path.join(dir, `${name}.json`);
 	const out = path.join(dir, `${name}-report.json`);
 	writeFileSync(file, JSON.stringify(experiment));
@@ -82,6 +93,7 @@
 	return JSON.parse(readFileSync(out, 'utf8'));
 }
 
+/** Creates a bench experiment that sends a steady load to a URL, changed by `overrides`. */
 export function loadExperiment(url, overrides) {
 	return {
 		seed: 7,
@@ -97,10 +109,12 @@
 	};
 }
 
-export async function state(adminUrl) {
+/** Reads a gateway's state dump. */
+export async function readState(adminUrl) {
 	return getJson(`${adminUrl}/debug/state`);
 }
 
+/** Returns the arithmetic mean. */
 export function mean(values) {
 	let sum = 0;
 	for (const value of values) {
--- a/scripts/experiments/log.mjs
+++ b/scripts/experiments/log.mjs
@@ -1,12 +1,12 @@
-// Appends to the platform log as the rate of non-idempotent calls and the gateway count grow.
+// Measures the appends to the platform log as the rate of non-idempotent calls and the number of gateways grow.
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	bench, getJson, loadExperiment, withStack,
+	runBench, getJson, loadExperiment, withStack,
 } from './harness.mjs';
 
 const flushMs = 50;
 
-/** Journal appends at set rates, over 1 and 3 gateways, and lease appends of idle gateways. */
+/** Measures journal appends at several call rates with 1 and 3 gateways, and the lease appends of idle gateways. */
 export async function log() {
 	const points = [];
 	for (const gateways of [1, 3]) {
@@ -17,22 +17,22 @@
 			},
 		}, async ({stack, dir}) => {
 			const measured = [];
-			const appends = async () => {
+			const readAppends = async () => {
 				const dump = await getJson(`${stack.logUrl}/debug/state`);
 				return dump.state.appends;
 			};
 
-			const idleFrom = await appends();
+			const idleStartAppends = await readAppends();
 			await delay(10_000);
-			const idlePerSecond = (await appends() - idleFrom) / 10;
+			const idlePerSecond = (await readAppends() - idleStartAppends) / 10;
 			for (const rate of [20, 100, 200]) {
 				// eslint-disable-next-line no-await-in-loop
-				const before = await appends();
-				const report = bench(loadExperiment(stack.gateways[0].url, {
+				const before = await readAppends();
+				const report = runBench(loadExperiment(stack.gateways[0].url, {
 					gateways: stack.gateways.map(gateway => gateway.url), ratePerSecond: rate, nonIdempotentShare: 1, service: 'settlement', seed: rate,
 				}), dir, `log-${gateways}-${rate}`);
 				// eslint-disable-next-line no-await-in-loop
-				const after = await appends();
+				const after = await readAppends();
 				const seconds = report.elapsedMs / 1000;
 				measured.push({
 					gateways,
--- a/scripts/experiments/peers.mjs
+++ b/scripts/experiments/peers.mjs
@@ -1,28 +1,28 @@
-// What many gateways cost each other, and how fast configuration reaches them all.
+// Measures the traffic between gateways, and the time until a configuration change has reached them all.
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	gatewayCounts, getJson, mean, operatorToken, postJson, state, withStack,
+	gatewayCounts, getJson, mean, operatorToken, postJson, readState, withStack,
 } from './harness.mjs';
 
-/** Peer traffic, CPU and memory of idle gateways as the gateway count grows. */
+/** Measures peer traffic, CPU and memory of idle gateways as the number of gateways grows. */
 export async function peers(counts = gatewayCounts) {
 	const results = [];
 	for (const count of counts) {
 		// eslint-disable-next-line no-await-in-loop
 		results.push(await withStack({basePort: 16_000, settleMs: 3000, topology: {gateways: count, models: [], heartbeatMs: 1000}}, async ({stack}) => {
 			const windowSeconds = 5;
-			const sample = stack.gateways.slice(0, Math.min(count, 9));
-			const before = await Promise.all(sample.map(async gateway => state(gateway.adminUrl)));
+			const sampledGateways = stack.gateways.slice(0, Math.min(count, 9));
+			const before = await Promise.all(sampledGateways.map(async gateway => readState(gateway.adminUrl)));
 			await delay(windowSeconds * 1000);
-			const after = await Promise.all(sample.map(async gateway => state(gateway.adminUrl)));
-			const rate = read => mean(after.map((entry, index) => read(entry) - read(before[index]))) / windowSeconds;
+			const after = await Promise.all(sampledGateways.map(async gateway => readState(gateway.adminUrl)));
+			const meanRate = read => mean(after.map((entry, index) => read(entry) - read(before[index]))) / windowSeconds;
 			return {
 				gateways: count,
 				alivePeersSeenByFirst: after[0].state.peers.filter(peer => peer.alive).length,
-				bytesSentPerSecond: rate(entry => entry.state.peerTraffic.bytesSent),
-				bytesReceivedPerSecond: rate(entry => entry.state.peerTraffic.bytesReceived),
-				messagesSentPerSecond: rate(entry => entry.state.peerTraffic.messagesSent),
-				cpuCoreShare: rate(entry => entry.process.cpuUs) / 1e6,
+				bytesSentPerSecond: meanRate(entry => entry.state.peerTraffic.bytesSent),
+				bytesReceivedPerSecond: meanRate(entry => entry.state.peerTraffic.bytesReceived),
+				messagesSentPerSecond: meanRate(entry => entry.state.peerTraffic.messagesSent),
+				cpuCoreShare: meanRate(entry => entry.process.cpuUs) / 1e6,
 				rssBytes: mean(after.map(entry => entry.process.rssBytes)),
 			};
 		}));
@@ -31,7 +31,7 @@
 	return {results};
 }
 
-/** Time from a publish until every gateway has applied it, as the gateway count grows. */
+/** Measures the time from a publish until every gateway has applied it, as the number of gateways grows. */
 export async function config(counts = gatewayCounts) {
 	const results = [];
 	for (const count of counts) {
@@ -49,7 +49,7 @@
 				while (pending.size > 0) {
 					// eslint-disable-next-line no-await-in-loop
 					await Promise.all([...pending].map(async url => {
-						const dump = await state(url);
+						const dump = await readState(url);
 						if (dump.state.config.version >= published.body.version) {
 							pending.delete(url);
 						}
@@ -74,11 +74,11 @@
 
 const recordCount = 400;
 
-/** CPU and memory of a gateway per config record applied: a burst of presets against an idle time as long. */
+/** Measures CPU and memory of a gateway per config record applied, by comparing a burst of presets with an idle period of the same length. */
 export async function records() {
 	return withStack({basePort: 19_000, settleMs: 3000, topology: {gateways: 3, models: []}}, async ({stack}) => {
 		const [publisher, ...others] = stack.gateways;
-		const readAll = async () => Promise.all(others.map(async gateway => state(gateway.adminUrl)));
+		const readAll = async () => Promise.all(others.map(async gateway => readState(gateway.adminUrl)));
 		const cpuMs = (from, to) => mean(to.map((entry, index) => (entry.process.cpuUs - from[index].process.cpuUs) / 1000));
 		const rounds = [];
 		for (let round = 0; round < 3; round++) {
--- a/scripts/experiments/start.ts
+++ b/scripts/experiments/start.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench:start -- [STARTS]`: what a serving daemon's start takes until its ports are
- * open, until its configuration is in force, and until it has given its first answer, in
- * elapsed and in processor time; as it is compiled while it runs, and from compiled code.
+ * `npm run bench:start -- [STARTS]`: measures the start of a serving daemon until its ports are
+ * open, until its configuration is in force, and until it has sent its first answer, in elapsed
+ * time and in CPU time, with and without V8's code cache.
  */
 import {execFileSync, spawn} from 'node:child_process';
 import {
@@ -16,19 +16,20 @@
 import {FrontClient, frontSettings} from '../../platform/__tests__/front-program.js';
 import {CloudStandin, ReplicaStandin, StoreStandin} from '../../platform/__tests__/standins.js';
 
-const callersPort = 18_900;
-/** Pause between looks at a starting daemon, in milliseconds. */
+const clientPort = 18_900;
+/** Interval at which a starting daemon is polled, in milliseconds. */
 const pollMs = 2;
+/** The V8 flags that deploy/system.toml starts the daemon with. */
 const nodeFlags = ['--max-old-space-size=160', '--max-semi-space-size=4'];
 
-/** Elapsed and processor time since the start, in milliseconds. */
-type Moment = {elapsedMs: number; cpuMs: number};
+/** Elapsed time and CPU time since the start of the process, in milliseconds. */
+type TimeSinceStart = {elapsedMs: number; cpuMs: number};
 
-/** What one start took. */
-type Start = {ports: Moment; config: Moment; answer: Moment};
+/** The times of one start, until the ports are open, the configuration is in force, and the first answer is sent. */
+type StartTimes = {ports: TimeSinceStart; config: TimeSinceStart; answer: TimeSinceStart};
 
-/** Processor time of all threads of a process, in milliseconds. */
-function cpuMs(pid: number): number {
+/** Returns the CPU time of all threads of a process, in milliseconds. */
+function readCpuMs(pid: number): number {
 	let sumNs = 0;
 	for (const task of readdirSync(`/proc/${pid}/task`)) {
 		sumNs += Number(readFileSync(`/proc/${pid}/task/${task}/schedstat`, 'utf8').split(' ')[0]);
@@ -50,27 +51,27 @@
 	});
 }
 
-async function until(check: () => Promise<boolean>): Promise<void> {
+async function waitUntil(check: () => Promise<boolean>): Promise<void> {
 	while (!await check()) { // eslint-disable-line no-await-in-loop -- a poll.
 		await delay(pollMs); // eslint-disable-line no-await-in-loop
 	}
 }
 
-/** Starts a bundle once and ends it after its first answer. */
-async function startOnce(bundle: string, settingsFile: string): Promise<Start> {
-	const startedAt = performance.now();
+/** Starts a bundle once and kills it after its first answer. */
+async function startOnce(bundle: string, settingsFile: string): Promise<StartTimes> {
+	const startedAtMs = performance.now();
 	const child = spawn(process.execPath, [...nodeFlags, bundle, 'front'], {env: {...process.env, SESAMETALLY_BOOT: settingsFile}, stdio: 'ignore'});
-	const moment = (): Moment => ({elapsedMs: performance.now() - startedAt, cpuMs: cpuMs(child.pid!)});
-	await until(async () => canConnect(callersPort));
-	const ports = moment();
-	const answered = new FrontClient(callersPort).send('GET', '/call/x');
-	await until(async () => {
-		const readiness = await fetch(`http://127.0.0.1:${callersPort + 1}/api/ready`).catch(() => undefined);
+	const readTime = (): TimeSinceStart => ({elapsedMs: performance.now() - startedAtMs, cpuMs: readCpuMs(child.pid!)});
+	await waitUntil(async () => canConnect(clientPort));
+	const ports = readTime();
+	const answered = new FrontClient(clientPort).send('GET', '/call/x');
+	await waitUntil(async () => {
+		const readiness = await fetch(`http://127.0.0.1:${clientPort + 1}/api/ready`).catch(() => undefined);
 		return readiness?.status === 200;
 	});
-	const config = moment();
+	const config = readTime();
 	const {status} = await answered;
-	const answer = moment();
+	const answer = readTime();
 	child.kill('SIGKILL');
 	await new Promise(resolve => {
 		child.once('exit', resolve);
@@ -86,16 +87,16 @@
 	return Math.round(values.toSorted((a, b) => a - b)[Math.floor(values.length / 2)]);
 }
 
-/** Prints the medians of several starts. */
+/** Starts a bundle several times and prints the medians of its times. */
 async function measure(name: string, bundle: string, settingsFile: string, starts: number): Promise<void> {
-	const all: Start[] = [];
+	const allTimes: StartTimes[] = [];
 	for (let index = 0; index < starts; index++) {
-		all.push(await startOnce(bundle, settingsFile)); // eslint-disable-line no-await-in-loop -- one at a time.
+		allTimes.push(await startOnce(bundle, settingsFile)); // eslint-disable-line no-await-in-loop -- one at a time.
 	}
 
 	const cells = (['ports', 'config', 'answer'] as const).map(key => {
-		const moments = all.map(start => start[key]);
-		return `${key} ${median(moments.map(moment => moment.elapsedMs))} ms, ${median(moments.map(moment => moment.cpuMs))} ms of processor time`;
+		const times = allTimes.map(start => start[key]);
+		return `${key} ${median(times.map(time => time.elapsedMs))} ms, ${median(times.map(time => time.cpuMs))} ms of CPU time`;
 	});
 	process.stdout.write(`${name}: ${cells.join('; ')}\n`);
 }
@@ -117,9 +118,9 @@
 	service: 'svc', address: replica.address, zone: 'zone-a', version: '1', slots: 4, state: 'ready', cold_left_ms: 0, sequence: 1,
 });
 const settingsFile = path.join(mkdtempSync(path.join(tmpdir(), 'sesametally-start-')), 'node.json');
-writeFileSync(settingsFile, JSON.stringify(frontSettings(callersPort, {store, cloud})));
+writeFileSync(settingsFile, JSON.stringify(frontSettings(clientPort, {store, cloud})));
 execFileSync(process.execPath, ['scripts/bundle.mjs', 'dist/start-plain.cjs']);
 execFileSync(process.execPath, ['scripts/bundle.mjs', '--code-cache', 'dist/start-cached.cjs']);
-await measure('compiled as it runs', 'dist/start-plain.cjs', settingsFile, starts);
-await measure('from compiled code', 'dist/start-cached.cjs', settingsFile, starts);
+await measure('without code cache', 'dist/start-plain.cjs', settingsFile, starts);
+await measure('with code cache', 'dist/start-cached.cjs', settingsFile, starts);
 process.exit(0); // eslint-disable-line unicorn/no-process-exit -- the stand-ins keep the process alive.
--- a/scripts/stack.mjs
+++ b/scripts/stack.mjs
@@ -1,46 +1,46 @@
-// The local stack: writes the settings of every process of a topology and starts each
-// as its own OS process on loopback. Used by `npm start`, the tests and the capacity runs.
+// The local stack: writes the settings file of every process of a topology and starts each as an OS process on
+// loopback. Used by `npm start`, the tests and the capacity experiments.
 import process from 'node:process';
 import {spawn} from 'node:child_process';
 import {mkdirSync, writeFileSync} from 'node:fs';
 import path from 'node:path';
 import {setTimeout as delay} from 'node:timers/promises';
 
-/** Loopback only. */
+/** Loopback address on which all processes listen. */
 export const host = '127.0.0.1';
 
 /**
  * Writes the settings files of a topology into `dir` and returns the processes to start.
- * @param {object} topology See examples/*\/stack.json.
- * @param {string} dir Folder for the settings files.
+ * @param {object} topology The parsed stack file, such as examples/*\/stack.json.
+ * @param {string} dir Folder of the settings files.
  */
 export function writeStackSettings(topology, dir) {
 	mkdirSync(dir, {recursive: true});
-	const base = topology.basePort;
+	const firstPort = topology.basePort;
 	const domains = topology.failureDomains;
 	const processes = [];
-	const write = (name, settings, args) => {
+	const addProcess = (name, settings, args) => {
 		const file = path.join(dir, `${name}.json`);
 		writeFileSync(file, JSON.stringify(settings, undefined, 2) + '\n');
 		processes.push({name, args: [...args, '--config', file]});
 	};
 
-	write('log', {
-		listen: {host, port: base}, failureDomain: domains[0], retentionMs: topology.retentionMs ?? 3_600_000, appendsPerSecond: topology.appendsPerSecond ?? 500,
+	addProcess('log', {
+		listen: {host, port: firstPort}, failureDomain: domains[0], retentionMs: topology.retentionMs ?? 3_600_000, appendsPerSecond: topology.appendsPerSecond ?? 500,
 	}, ['standin', 'log']);
 	const backendServers = [];
 	const vms = [];
 	const slots = [];
 	const machineClass = 'small';
-	const weightsUrl = `http://${host}:${base + 302}`;
-	let engineIndex = 0;
+	const weightsUrl = `http://${host}:${firstPort + 302}`;
+	let engineCount = 0;
 	const engineDefaults = {tpotMs: topology.tpotMs ?? 10, maxBatch: topology.maxBatch ?? 32, weightsUrl};
 	for (const model of topology.models) {
 		for (let replica = 0; replica < model.replicas; replica++) {
 			const id = `${model.name}-${replica}`;
-			const port = base + 100 + engineIndex++;
+			const port = firstPort + 100 + engineCount++;
 			const failureDomain = domains[replica % domains.length];
-			write(id, {
+			addProcess(id, {
 				...engineDefaults, id, listen: {host, port}, failureDomain, model: model.name, checksFencing: replica % 2 === 0,
 			}, ['standin', 'engine']);
 			const url = `http://${host}:${port}`;
@@ -54,40 +54,40 @@
 		}
 	}
 
-	let serviceIndex = 0;
+	let serviceCount = 0;
 	for (const service of topology.services) {
 		for (let replica = 0; replica < service.replicas; replica++) {
 			const id = `${service.name}-${replica}`;
-			const port = base + 200 + serviceIndex++;
+			const port = firstPort + 200 + serviceCount++;
 			const failureDomain = domains[replica % domains.length];
-			write(id, {id, listen: {host, port}, failureDomain}, ['standin', 'service']);
+			addProcess(id, {id, listen: {host, port}, failureDomain}, ['standin', 'service']);
 			backendServers.push({
 				id, kind: 'service', name: service.name, url: `http://${host}:${port}`, failureDomain, checksFencing: false,
 			});
 		}
 	}
 
-	// Places where the cloud stand-in may start further VMs: engine processes without power.
+	// Slots where the cloud stand-in may start more VMs: engine processes that begin powered off.
 	for (const [index, failureDomain] of domains.entries()) {
-		for (let spare = 0; spare < (topology.spareSlots ?? 0); spare++) {
-			const port = base + 100 + engineIndex++;
-			write(`slot-${failureDomain}-${spare}`, {
-				...engineDefaults, id: `slot-${failureDomain}-${spare}`, listen: {host, port}, failureDomain, powered: false, checksFencing: index % 2 === 0,
+		for (let slotIndex = 0; slotIndex < (topology.spareSlots ?? 0); slotIndex++) {
+			const port = firstPort + 100 + engineCount++;
+			addProcess(`slot-${failureDomain}-${slotIndex}`, {
+				...engineDefaults, id: `slot-${failureDomain}-${slotIndex}`, listen: {host, port}, failureDomain, powered: false, checksFencing: index % 2 === 0,
 			}, ['standin', 'engine']);
 			slots.push({url: `http://${host}:${port}`, failureDomain});
 		}
 	}
 
-	const platform = {failureDomain: domains[0]};
-	const cloudUrl = `http://${host}:${base + 300}`;
-	write('cloud', {
-		listen: {host, port: base + 300}, ...platform, prices: topology.prices ?? [], vms, slots, ...topology.cloud,
+	const placement = {failureDomain: domains[0]};
+	const cloudUrl = `http://${host}:${firstPort + 300}`;
+	addProcess('cloud', {
+		listen: {host, port: firstPort + 300}, ...placement, prices: topology.prices ?? [], vms, slots, ...topology.cloud,
 	}, ['standin', 'cloud']);
-	write('vms', {
-		listen: {host, port: base + 301}, ...platform, cloudUrl, lagMs: topology.vmListLagMs ?? 2000,
+	addProcess('vms', {
+		listen: {host, port: firstPort + 301}, ...placement, cloudUrl, lagMs: topology.vmListLagMs ?? 2000,
 	}, ['standin', 'vms']);
-	write('weights', {
-		listen: {host, port: base + 302}, ...platform, downloadsPerSecond: topology.downloadsPerSecond ?? 2,
+	addProcess('weights', {
+		listen: {host, port: firstPort + 302}, ...placement, downloadsPerSecond: topology.downloadsPerSecond ?? 2,
 	}, ['standin', 'weights']);
 
 	const gateways = [];
@@ -98,14 +98,14 @@
 	}
 
 	for (const gateway of gateways) {
-		write(gateway.id, {
+		addProcess(gateway.id, {
 			id: gateway.id,
 			failureDomain: gateway.failureDomain,
 			listen: {host, port: gateway.port},
 			admin: {host, port: gateway.adminPort, teams: topology.teams},
-			platformLog: {url: `http://${host}:${base}`, retentionMs: topology.retentionMs ?? 3_600_000},
+			platformLog: {url: `http://${host}:${firstPort}`, retentionMs: topology.retentionMs ?? 3_600_000},
 			cloud: {url: cloudUrl},
-			vmList: {url: `http://${host}:${base + 301}`},
+			vmList: {url: `http://${host}:${firstPort + 301}`},
 			controller: topology.controller,
 			peers: gateways.filter(peer => peer.id !== gateway.id).map(peer => ({id: peer.id, url: `ws://${host}:${peer.adminPort}/peer`})),
 			backendServers,
@@ -118,12 +118,12 @@
 	}
 
 	return {
-		processes, gateways: gateways.map(gateway => ({...gateway, url: `http://${host}:${gateway.port}`, adminUrl: `http://${host}:${gateway.adminPort}`})), logUrl: `http://${host}:${base}`, cloudUrl,
+		processes, gateways: gateways.map(gateway => ({...gateway, url: `http://${host}:${gateway.port}`, adminUrl: `http://${host}:${gateway.adminPort}`})), logUrl: `http://${host}:${firstPort}`, cloudUrl,
 	};
 }
 
 /**
- * Starts each process of a stack and returns handles; `stop()` sends SIGTERM to all and waits.
+ * Starts each process of a stack and returns their handles; `stop()` sends SIGTERM to all and waits until they have exited.
  * @param {Array<{name: string, args: string[]}>} processes
  * @param {{binary?: string, quiet?: boolean}} options
  */
@@ -156,10 +156,10 @@
 }
 
 /**
- * Polls a condition until it holds; one that throws does not hold yet.
+ * Polls a condition until it holds; one that throws doesn't hold yet.
  * @param {() => Promise<boolean>} condition
  * @param {number} timeoutMs
- * @throws {Error} When it does not hold within `timeoutMs`.
+ * @throws {Error} If it doesn't hold within `timeoutMs` milliseconds.
  */
 export async function waitUntil(condition, timeoutMs = 15_000) {
 	const deadline = Date.now() + timeoutMs;
--- a/scripts/warm-up.cjs
+++ b/scripts/warm-up.cjs
@@ -1,6 +1,7 @@
 /**
- * Starts a serving daemon on free loopback ports, with a store that does not answer, and
- * writes V8's code cache of what has run by then beside the bundle. Called by code-cache.mjs.
+ * Starts a serving daemon on free loopback ports, with a store that doesn't answer, and writes a
+ * V8 code cache of the functions that it has run after its start beside the bundle. Called by
+ * code-cache.mjs.
  */
 'use strict';
 const fs = require('node:fs');
@@ -9,16 +10,16 @@
 const process = require('node:process');
 const vm = require('node:vm');
 
-/** Time for the daemon to load all it loads at its start, in milliseconds: ten times what it takes on an idle machine. */
+/** Time for the daemon to finish its start, in milliseconds: ten times what this takes on an idle machine. */
 const warmUpMs = 2500;
 
-const main = path.resolve(process.argv[2]);
-const script = new vm.Script(nodeModule.wrap(fs.readFileSync(main, 'utf8')), {filename: main});
+const mainFile = path.resolve(process.argv[2]);
+const script = new vm.Script(nodeModule.wrap(fs.readFileSync(mainFile, 'utf8')), {filename: mainFile});
 process.env.SESAMETALLY_BOOT = 'platform/warm-up-settings.json';
-process.argv = [process.argv[0], main, 'front'];
+process.argv = [process.argv[0], mainFile, 'front'];
 setTimeout(() => {
-	fs.writeFileSync(`${main}.cache`, script.createCachedData());
-	process.exit(0); // eslint-disable-line unicorn/no-process-exit -- the daemon would run on.
+	fs.writeFileSync(`${mainFile}.cache`, script.createCachedData());
+	process.exit(0); // eslint-disable-line unicorn/no-process-exit -- the daemon would keep running.
 }, warmUpMs);
-const bundle = {exports: {}};
-script.runInThisContext().call(bundle.exports, bundle.exports, nodeModule.createRequire(main), bundle, main, path.dirname(main));
+const mainModule = {exports: {}};
+script.runInThisContext().call(mainModule.exports, mainModule.exports, nodeModule.createRequire(mainFile), mainModule, mainFile, path.dirname(mainFile));
--- a/scripts/write-checks.mjs
+++ b/scripts/write-checks.mjs
@@ -1,4 +1,5 @@
-// Compiles the schemas of the platform's records into platform/generated-checks.js.
+// `npm run checks`: compiles the schemas of the platform's settings and records into validation functions in
+// platform/generated-checks.js, or in the file that the first argument names.
 import {writeFileSync} from 'node:fs';
 import {Buffer} from 'node:buffer';
 import process from 'node:process';
--- a/scripts/write-examples.mjs
+++ b/scripts/write-examples.mjs
@@ -1,4 +1,4 @@
-// `npm run examples`: writes the settings of both example deployments from their stack.json.
+// `npm run examples`: writes the settings files of both example deployments from their stack.json.
 import {readFileSync} from 'node:fs';
 import path from 'node:path';
 import {writeStackSettings} from './stack.mjs';
