--- a/xo.config.js
+++ b/xo.config.js
@@ -5,11 +5,11 @@
 	},
 	{
 		rules: {
-			// Request payloads cross the boundary as `unknown`; each is narrowed once, after its ajv schema check or from our own stand-ins.
+			// Payloads arrive as `unknown`; each is narrowed once, after its ajv schema check or, from the project's stand-ins, without one.
 			'@typescript-eslint/no-unsafe-type-assertion': 'off',
-			// It asks for a line break inside `{}` where unicorn/empty-brace-spaces forbids one; the latter wins.
+			// It requires a line break inside `{}` where unicorn/empty-brace-spaces forbids one.
 			'@stylistic/curly-newline': 'off',
-			// XO's own naming rule, plus the snake_case field names of the OpenAI wire format and upper-case environment variables.
+			// XO's naming rule, extended by the snake_case field names of wire formats and by upper-case environment variables.
 			'@typescript-eslint/naming-convention': [
 				'error',
 				{
