--- a/model/lease.pml
+++ b/model/lease.pml
@@ -19,11 +19,11 @@
 
 byte now = 0;
 byte logHolder[MAX_LOG];
-byte logBase[MAX_LOG];   /* base + 1 */
-byte logToken[MAX_LOG];  /* NONE for a claim */
+byte logBase[MAX_LOG];    /* base + 1 */
+byte logToken[MAX_LOG];   /* NONE for a claim */
 byte logSentAt[MAX_LOG];
 byte logLength = 0;
-byte highestToken = 0;   /* + 1; 0 for none */
+byte highestToken = 0;    /* + 1; 0 for none */
 
 proctype Clock() {
 end:
@@ -34,8 +34,8 @@
 
 proctype Gateway(byte id) {
 	byte next = 0;
-	byte lastCounted = 0;        /* offset + 1; 0 for none */
-	byte token = NONE;    /* of the lease in force */
+	byte lastCounted = 0;  /* offset + 1; 0 for none */
+	byte token = NONE;     /* of the lease in force */
 	byte holder = NONE;
 	byte lastCountedReadAt = 0;
 	byte leaseStart = 0;
--- a/scripts/experiments/start.ts
+++ b/scripts/experiments/start.ts
@@ -16,6 +16,7 @@
 import {FrontClient, frontSettings} from '../../platform/__tests__/front-program.js';
 import {CloudStandin, ReplicaStandin, StoreStandin} from '../../platform/__tests__/standins.js';
 
+/** The daemon's port for clients; the next one answers readiness probes. */
 const clientPort = 18_900;
 /** Interval at which a starting daemon is polled, in milliseconds. */
 const pollMs = 2;
@@ -38,6 +39,7 @@
 	return sumNs / 1e6;
 }
 
+/** Returns whether a loopback port accepts connections. */
 async function canConnect(port: number): Promise<boolean> {
 	return new Promise(resolve => {
 		const socket = connect(port, '127.0.0.1');
@@ -51,6 +53,7 @@
 	});
 }
 
+/** Polls a condition until it holds. */
 async function waitUntil(check: () => Promise<boolean>): Promise<void> {
 	while (!await check()) { // eslint-disable-line no-await-in-loop -- a poll.
 		await delay(pollMs); // eslint-disable-line no-await-in-loop
--- a/soak/clients.ts
+++ b/soak/clients.ts
@@ -68,6 +68,7 @@
 /** Destination and content of one request. */
 type RequestInputs = {agent: Agent; host: string; id: string; kind: string; path?: string; body?: string};
 
+/** Sends one request and waits for the end of its answer, an error or the time limit. */
 async function sendRequest(cluster: SoakCluster, {agent, host, id, kind, path = `/${kind}/${id}`, body = id}: RequestInputs): Promise<RequestRecord> {
 	const [apiKey] = cluster.apiKeys;
 	const record: RequestRecord = {
--- a/soak/cluster.ts
+++ b/soak/cluster.ts
@@ -70,6 +70,7 @@
 		this.signal('SIGKILL');
 	}
 
+	/** Sends a signal to the daemon's current process. */
 	signal(name: NodeJS.Signals): void {
 		this.child?.kill(name);
 	}
@@ -85,6 +86,7 @@
 
 /** The daemons, stand-ins and links of one run. */
 export class SoakCluster {
+	/** Bounds in the daemons' settings, which the checks use too. */
 	readonly bounds: typeof defaultBounds;
 	readonly store = new StoreStandin();
 	readonly cloud = new CloudStandin();
@@ -110,6 +112,7 @@
 		this.bounds = options.hasStoreLinkFaults ? storeLinkBounds : defaultBounds;
 	}
 
+	/** Starts the stand-ins and all daemons. */
 	async start(): Promise<void> {
 		await this.store.start();
 		await this.cloud.start();
@@ -130,6 +133,7 @@
 		}
 	}
 
+	/** Kills the daemons and closes the stand-ins and links. */
 	stop(): void {
 		this.isClosed = true;
 		for (const daemon of this.daemons) {
@@ -212,6 +216,7 @@
 		});
 	}
 
+	/** Creates a daemon with its settings; it isn't started yet. */
 	private createDaemon(index: number): SoakDaemon {
 		const host = `127.0.0.${index + 2}`;
 		return new SoakDaemon(host, {
--- a/soak/faulty-link.ts
+++ b/soak/faulty-link.ts
@@ -19,6 +19,7 @@
 
 /** A proxy of one address. */
 export class FaultyLink {
+	/** Applies to open and new connections. */
 	mode = LinkMode.Pass;
 	/** The proxy's own address, as host:port, once it is started. */
 	address = '';
@@ -32,6 +33,7 @@
 	/** @param target The address that the proxy forwards to, as host:port. */
 	constructor(private readonly target: string) {}
 
+	/** Listens on a free loopback port. */
 	async start(): Promise<void> {
 		await new Promise<void>(resolve => {
 			this.server.listen(0, '127.0.0.1', resolve);
@@ -39,6 +41,7 @@
 		this.address = `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
 	}
 
+	/** Resets every open connection and stops listening. */
 	stop(): void {
 		this.reset();
 		this.server.close();
@@ -60,6 +63,7 @@
 		}
 	}
 
+	/** Connects a client's connection to the target, in both directions. */
 	private forward(client: Socket): void {
 		const [host, port] = this.target.split(':');
 		const backend = connect(Number(port), host);
@@ -81,6 +85,7 @@
 		}
 	}
 
+	/** Copies bytes and the end of the stream in one direction, subject to the mode. */
 	private pipe(from: Socket, to: Socket, isResponse: boolean): void {
 		from.on('data', bytes => {
 			const isDropped = this.silencedSockets.has(from) || this.mode === LinkMode.Silence || (this.mode === LinkMode.OneWay && isResponse);
--- a/soak/soak.ts
+++ b/soak/soak.ts
@@ -104,6 +104,7 @@
 	return uniformInt(random, 1, max);
 }
 
+/** Injects a fault and removes it after a time. */
 async function applyFault(fault: Fault, durationMs: number): Promise<void> {
 	fault.begin();
 	await delay(durationMs);
