--- a/src/cli/commands/front.ts
+++ b/src/cli/commands/front.ts
@@ -8,8 +8,8 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {randomBytes} from 'node:crypto';
 import {type FrontSettings, type Platform} from '../../protocol/platform.js';
-import {ObservationPort} from '../../transport/observation-port.js';
-import {openReadiness} from '../../transport/readiness-server.js';
+import {DiagnosticsServer} from '../../transport/diagnostics-server.js';
+import {openReadinessServer} from '../../transport/readiness-server.js';
 import {createLogger} from '../../log.js';
 import {waitForAbort} from '../../abort.js';
 import {FrontDaemon} from '../front-daemon.js';
@@ -28,8 +28,8 @@
 	const {settings} = platform;
 	const tasks = new AbortController();
 	const daemon = new FrontDaemon(platform, `${settings.name}#${randomBytes(4).toString('hex')}`, tasks.signal);
-	const readiness = await openReadiness(settings.readiness, platform.dialect.readinessPath, () => daemon.isReady);
-	let metrics: ObservationPort | undefined;
+	const readiness = await openReadinessServer(settings.readiness, platform.dialect.readinessPath, () => daemon.isReady);
+	let metrics: DiagnosticsServer | undefined;
 	try {
 		await daemon.start();
 		log.info('started.', {
@@ -71,10 +71,10 @@
 }
 
 /** Opens the metrics port, whose libraries are loaded last: they take longer than the rest of the start. */
-async function openMetrics(daemon: FrontDaemon, settings: FrontSettings): Promise<ObservationPort> {
+async function openMetrics(daemon: FrontDaemon, settings: FrontSettings): Promise<DiagnosticsServer> {
 	const {createRegistry} = await import('../../transport/process-registry.js');
 	const metrics = await import('../../coordination/serving/serving-metrics.js');
 	const registry = createRegistry();
 	daemon.observe(new metrics.ServingMetrics(registry, {openRequests: () => daemon.openRequests, views: () => daemon.views}));
-	return ObservationPort.open({host: settings.host, port: settings.metricsPort}, registry, () => daemon.dump());
+	return DiagnosticsServer.open({host: settings.host, port: settings.metricsPort}, registry, () => daemon.dump());
 }
--- a/src/cli/commands/gateway.ts
+++ b/src/cli/commands/gateway.ts
@@ -22,13 +22,13 @@
 import {followConfig} from '../../coordination/config-follower.js';
 import {PeerMessageKind, type Heartbeat} from '../../protocol/peer-messages.js';
 import {
-	addObservationRoutes, createServer, startServer,
+	addDiagnosticsRoutes, createServer, startServer,
 } from '../../transport/http-server.js';
 import {createRegistry} from '../../transport/process-registry.js';
 import {CallerMetrics} from '../../transport/caller-metrics.js';
 import {addCallerRoutes} from '../../transport/caller-api.js';
 import {addAdminRoutes} from '../../transport/admin-api.js';
-import {acceptPeers, linkPeer, type PeerTraffic} from '../../transport/peer-link.js';
+import {acceptPeerLinks, runPeerLink, type PeerTraffic} from '../../transport/peer-link.js';
 import {createLogger} from '../../log.js';
 import {waitForAbort} from '../../abort.js';
 import {createGatewayContainer} from '../container.js';
@@ -78,11 +78,11 @@
 		signal: stopTasks,
 	});
 	const admin = createServer({host: settings.admin.host, port: settings.admin.port});
-	addObservationRoutes(admin, registry, () => state.dump(Date.now()));
+	addDiagnosticsRoutes(admin, registry, () => state.dump(Date.now()));
 	addAdminRoutes(admin, {
 		teams: settings.admin.teams, config, platformLog, status: () => state.status(Date.now()),
 	});
-	acceptPeers(admin.listener, traffic, message => {
+	acceptPeerLinks(admin.listener, traffic, message => {
 		membership.observe(message, Date.now());
 	});
 
@@ -110,8 +110,8 @@
 		controller.run(stopTasks),
 		cloud && followNotices({url: cloud.url, pollMs: cloud.noticePollMs}, directory, stopTasks),
 		vmList && followVmList(vmList, directory, stopTasks),
-		...settings.peers.map(async peer => linkPeer({
-			peer, intervalMs: settings.heartbeatMs, next: heartbeat, traffic,
+		...settings.peers.map(async peer => runPeerLink({
+			peer, intervalMs: settings.heartbeatMs, createMessage: heartbeat, traffic,
 		}, stopTasks)),
 	]);
 
--- a/src/transport/__tests__/backend-pool.test.ts
+++ b/src/transport/__tests__/backend-pool.test.ts
@@ -17,7 +17,7 @@
 	}
 });
 
-/** Starts a server that answers each connection's bytes by a script. */
+/** Starts a TCP server that calls `onRequest` for the bytes of each request with the number of requests so far. */
 async function startBackend(onRequest: (socket: Socket, requests: number) => void): Promise<Backend> {
 	let requests = 0;
 	const server = createServer(socket => {
@@ -47,15 +47,15 @@
 
 const head = 'HTTP/1.1 200 OK\r\n';
 
-describe('answers of backend servers', () => {
+describe('responses of backend servers', () => {
 	it.each([
 		{
-			name: 'a body without a length that ends with its connection is whole', script(socket: Socket) {
+			name: 'accepts a body without a length that ends with its connection', script(socket: Socket) {
 				socket.end(`${head}\r\nwhole`);
 			}, expected: 'whole',
 		},
 		{
-			name: 'a body without a length that is reset is not', script(socket: Socket) {
+			name: 'rejects a body without a length whose connection is reset', script(socket: Socket) {
 				socket.write(`${head}\r\npart`);
 				setTimeout(() => {
 					socket.resetAndDestroy();
@@ -63,38 +63,38 @@
 			}, expected: undefined,
 		},
 		{
-			name: 'a body without a length that is reset at once is not', script(socket: Socket) {
+			name: 'rejects a body without a length whose connection is reset together with the last bytes', script(socket: Socket) {
 				socket.write(`${head}\r\npart`, () => {
 					socket.resetAndDestroy();
 				});
 			}, expected: undefined,
 		},
 		{
-			name: 'a body of its stated length is whole though its connection ends with it', script(socket: Socket) {
+			name: 'accepts a body of the stated length when the connection closes after it', script(socket: Socket) {
 				socket.end(`${head}Content-Length: 5\r\nConnection: close\r\n\r\nwhole`);
 			}, expected: 'whole',
 		},
 		{
-			name: 'a body of its stated length is whole though its connection is reset after it', script(socket: Socket) {
+			name: 'accepts a body of the stated length when the connection is reset after it', script(socket: Socket) {
 				socket.write(`${head}Content-Length: 5\r\nConnection: close\r\n\r\nwhole`, () => {
 					socket.resetAndDestroy();
 				});
 			}, expected: 'whole',
 		},
 		{
-			name: 'chunks with their end are whole though their connection is reset after them', script(socket: Socket) {
+			name: 'accepts a complete chunked body when the connection is reset after it', script(socket: Socket) {
 				socket.write(`${head}Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n5\r\nwhole\r\n0\r\n\r\n`, () => {
 					socket.resetAndDestroy();
 				});
 			}, expected: 'whole',
 		},
 		{
-			name: 'a body shorter than its length is not whole', script(socket: Socket) {
+			name: 'rejects a body shorter than the stated length', script(socket: Socket) {
 				socket.end(`${head}Content-Length: 9\r\n\r\npart`);
 			}, expected: undefined,
 		},
 		{
-			name: 'chunks without their end are not whole', script(socket: Socket) {
+			name: 'rejects a chunked body without the last chunk', script(socket: Socket) {
 				socket.end(`${head}Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n`);
 			}, expected: undefined,
 		},
@@ -105,14 +105,14 @@
 		await (expected === undefined ? expect(read()).rejects.toThrow(TransportError) : expect(read()).resolves.toBe(expected));
 	});
 
-	it('a connection that sends more than its answer is not used again', async () => {
+	it('does not reuse a connection that sent more bytes than its response', async () => {
 		const answer = `${head}Content-Length: 2\r\nKeep-Alive: timeout=5\r\n\r\nok`;
 		const backend = await startBackend((socket, requests) => {
 			socket.write(requests === 1 ? answer + answer.replace('ok', 'no') : answer);
 		});
 		const pool = new BackendPool();
 		for (let round = 0; round < 3; round++) {
-			// eslint-disable-next-line no-await-in-loop -- one request after the other.
+			// eslint-disable-next-line no-await-in-loop -- requests are sequential.
 			expect(await readText(pool, backend)).toBe('ok');
 			// eslint-disable-next-line no-await-in-loop
 			await new Promise(resolve => {
@@ -122,14 +122,14 @@
 	});
 });
 
-describe('a backend server that drops idle connections without notice', () => {
-	/** Answers on connections that are new or were used a moment ago, and resets the others. */
-	async function startForgetful(restMs: number): Promise<Backend> {
+describe('a backend server that resets idle connections without notice', () => {
+	/** Starts a server that responds on new connections and on those idle for at most `maxIdleMs`, and resets the others. */
+	async function startResettingBackend(maxIdleMs: number): Promise<Backend> {
 		const usedAtMs = new WeakMap<Socket, number>();
 		return startBackend(socket => {
 			const lastMs = usedAtMs.get(socket);
 			usedAtMs.set(socket, Date.now());
-			if (lastMs !== undefined && Date.now() - lastMs > restMs) {
+			if (lastMs !== undefined && Date.now() - lastMs > maxIdleMs) {
 				socket.resetAndDestroy();
 			} else {
 				socket.write(`${head}Content-Length: 2\r\nKeep-Alive: timeout=5\r\n\r\nok`);
@@ -137,12 +137,12 @@
 		});
 	}
 
-	it('costs one request that may run only once, and none after', async () => {
-		const backend = await startForgetful(60);
+	it('fails one non-retryable request on a reused connection and none after it', async () => {
+		const backend = await startResettingBackend(60);
 		const pool = new BackendPool();
 		const results: string[] = [];
 		for (let round = 0; round < 6; round++) {
-			// eslint-disable-next-line no-await-in-loop -- one request after the other.
+			// eslint-disable-next-line no-await-in-loop -- requests are sequential.
 			results.push(await readText(pool, backend, false).catch(() => 'reset'));
 			// eslint-disable-next-line no-await-in-loop
 			await delay(150);
@@ -152,21 +152,21 @@
 		pool.destroy();
 	});
 
-	it('answers on a new connection that it closes with its answer', async () => {
+	it('serves non-retryable requests on new connections that it closes after each response', async () => {
 		const backend = await startBackend(socket => {
 			socket.end(`${head}Content-Length: 2\r\nConnection: close\r\n\r\nok`);
 		});
 		const pool = new BackendPool();
-		pool.noteDropped(performance.now());
+		pool.recordReuseFailure(performance.now());
 		const answers = await Promise.all(Array.from({length: 20}, async () => readText(pool, backend, false)));
 		expect(answers).toEqual(answers.map(() => 'ok'));
 		pool.destroy();
 	});
 
-	it('still gets requests that may be repeated on kept connections', async () => {
-		const backend = await startForgetful(60);
+	it('still receives retryable requests on reused connections', async () => {
+		const backend = await startResettingBackend(60);
 		const pool = new BackendPool();
-		pool.noteDropped(performance.now());
+		pool.recordReuseFailure(performance.now());
 		await readText(pool, backend);
 		await delay(30);
 		expect(await readText(pool, backend)).toBe('ok');
--- a/src/transport/__tests__/event-splitter.test.ts
+++ b/src/transport/__tests__/event-splitter.test.ts
@@ -5,7 +5,7 @@
 describe('EventSplitter', () => {
 	const stream = 'id: 1\ndata: a\n\nversion: 3\nid:2\r\ndata: b\r\n\r\ndata: c\n\n';
 
-	it.each([1, 2, 3, 7, 100])('splits pieces of %i bytes without changing any', size => {
+	it.each([1, 2, 3, 7, 100])('splits a stream received in chunks of %i bytes without changing it', size => {
 		const splitter = new EventSplitter();
 		const events = [];
 		for (let start = 0; start < stream.length; start += size) {
@@ -17,7 +17,7 @@
 		expect(splitter.hasPartial).toBe(false);
 	});
 
-	it('knows a partial event', () => {
+	it('reports a partial event', () => {
 		const splitter = new EventSplitter();
 		expect(splitter.push(Buffer.from('id: 1\ndata: a\n'))).toEqual([]);
 		expect(splitter.hasPartial).toBe(true);
--- a/src/transport/__tests__/front-server.test.ts
+++ b/src/transport/__tests__/front-server.test.ts
@@ -5,9 +5,9 @@
 import {FrontServer, type FrontRequest} from '../front-server.js';
 
 const port = 18_471;
-const seen: FrontRequest[] = [];
+const handledRequests: FrontRequest[] = [];
 const server = new FrontServer(async request => {
-	seen.push(request);
+	handledRequests.push(request);
 	request.response.end('ok');
 });
 
@@ -22,7 +22,7 @@
 	server.destroy();
 });
 
-/** Sends bytes on a new connection and returns what came back within a moment. */
+/** Sends bytes on a new connection and returns the data received within `waitMs`. */
 async function send(bytes: string, waitMs = 150): Promise<string> {
 	return new Promise(resolve => {
 		const socket = connect(port, '127.0.0.1');
@@ -43,35 +43,35 @@
 
 describe('FrontServer', () => {
 	it.each([
-		{name: 'a length and chunks', bytes: `${head}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`, status: 400},
-		{name: 'two lengths', bytes: `${head}Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello`, status: 400},
+		{name: 'both a length and a transfer encoding', bytes: `${head}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`, status: 400},
+		{name: 'two content lengths', bytes: `${head}Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello`, status: 400},
 		{name: 'an unknown transfer encoding', bytes: `${head}Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n`, status: 400},
 		{name: 'a folded header', bytes: `${head}X: a\r\n b\r\nContent-Length: 0\r\n\r\n`, status: 400},
 		{name: 'a space before the colon', bytes: `${head}Content-Length : 5\r\n\r\nhello`, status: 400},
-		{name: 'long headers', bytes: `${head}X: ${'x'.repeat(500)}\r\nContent-Length: 0\r\n\r\n`, status: 431},
+		{name: 'headers longer than allowed', bytes: `${head}X: ${'x'.repeat(500)}\r\nContent-Length: 0\r\n\r\n`, status: 431},
 		{name: 'a body longer than allowed', bytes: `${head}Content-Length: 51\r\n\r\n${'x'.repeat(51)}`, status: 413},
-		{name: 'chunks longer than allowed', bytes: `${head}Transfer-Encoding: chunked\r\n\r\n40\r\n${'x'.repeat(64)}\r\n0\r\n\r\n`, status: 413},
-	])('turns away $name', async ({bytes, status}) => {
-		const before = seen.length;
+		{name: 'a chunked body longer than allowed', bytes: `${head}Transfer-Encoding: chunked\r\n\r\n40\r\n${'x'.repeat(64)}\r\n0\r\n\r\n`, status: 413},
+	])('rejects $name', async ({bytes, status}) => {
+		const before = handledRequests.length;
 		const text = await send(bytes);
 		expect(text).toMatch(new RegExp(`^HTTP/1.1 ${status} `, 'v'));
 		expect(text.toLowerCase()).toContain('connection: close');
-		expect(seen.length).toBe(before);
+		expect(handledRequests.length).toBe(before);
 	});
 
-	it('reads two requests of one connection apart', async () => {
-		const before = seen.length;
+	it('separates two requests on one connection', async () => {
+		const before = handledRequests.length;
 		const text = await send(`${head}Content-Length: 3\r\n\r\nabc${head}Transfer-Encoding: chunked\r\n\r\n2\r\nde\r\n0\r\n\r\n`);
 		expect(text.match(/HTTP\/1.1 200/gv)).toHaveLength(2);
-		expect(seen.slice(before).map(request => new TextDecoder().decode(request.body))).toEqual(['abc', 'de']);
+		expect(handledRequests.slice(before).map(request => new TextDecoder().decode(request.body))).toEqual(['abc', 'de']);
 	});
 
-	it('tells its handler when the client goes', async () => {
-		const goners: AbortSignal[] = [];
-		const waiting = new FrontServer(async request => {
-			goners.push(request.signal);
+	it('aborts the signal of a request whose client disconnects', async () => {
+		const signals: AbortSignal[] = [];
+		const silentServer = new FrontServer(async request => {
+			signals.push(request.signal);
 		});
-		await waiting.listen({host: '127.0.0.1', port: port + 1});
+		await silentServer.listen({host: '127.0.0.1', port: port + 1});
 		const socket = connect(port + 1, '127.0.0.1');
 		socket.write('GET /a HTTP/1.1\r\nHost: h\r\n\r\n');
 		await new Promise(resolve => {
@@ -81,8 +81,8 @@
 		await new Promise(resolve => {
 			setTimeout(resolve, 100);
 		});
-		expect(goners.map(signal => signal.aborted)).toEqual([true]);
-		waiting.close();
-		waiting.destroy();
+		expect(signals.map(signal => signal.aborted)).toEqual([true]);
+		silentServer.close();
+		silentServer.destroy();
 	});
 });
--- a/src/transport/__tests__/raw-client.test.ts
+++ b/src/transport/__tests__/raw-client.test.ts
@@ -6,8 +6,8 @@
 import {RawClient} from '../raw-client.js';
 
 const timeoutMs = 300;
-const chunkMs = 100;
-const answerBytes = 8;
+const chunkIntervalMs = 100;
+const responseBytes = 8;
 let server: Server;
 
 afterEach(() => {
@@ -15,17 +15,17 @@
 	server.closeAllConnections();
 });
 
-describe('a call', () => {
+describe('RawClient', () => {
 	it.each([
-		{name: 'is not given up while its answer keeps coming', bytes: answerBytes, isWhole: true},
-		{name: 'is given up when its answer stops coming', bytes: 2, isWhole: false},
-	])('$name', async ({bytes, isWhole}) => {
+		{name: 'waits longer than the timeout while response bytes keep arriving', bytes: responseBytes, isComplete: true},
+		{name: 'fails when no more response bytes arrive within the timeout', bytes: 2, isComplete: false},
+	])('$name', async ({bytes, isComplete}) => {
 		server = createServer((_, response) => {
-			response.writeHead(200, {'Content-Length': String(answerBytes)});
+			response.writeHead(200, {'Content-Length': String(responseBytes)});
 			for (let index = 0; index < bytes; index++) {
 				setTimeout(() => {
 					response.write('x');
-				}, index * chunkMs);
+				}, index * chunkIntervalMs);
 			}
 		});
 		await new Promise<void>(resolve => {
@@ -33,6 +33,6 @@
 		});
 		const client = new RawClient(`http://127.0.0.1:${(server.address() as AddressInfo).port}`);
 		const call = client.call({method: 'GET', path: '/', timeoutMs});
-		await (isWhole ? expect(call).resolves.toMatchObject({statusCode: 200}) : expect(call).rejects.toThrow('got no answer on a new connection'));
+		await (isComplete ? expect(call).resolves.toMatchObject({statusCode: 200}) : expect(call).rejects.toThrow('got no answer on a new connection'));
 	});
 });
--- a/src/transport/admin-api.ts
+++ b/src/transport/admin-api.ts
@@ -1,9 +1,10 @@
 /**
- * The administration API of a gateway: publish a preset, activate one, drain a
- * backend server, status of every gateway. Each team's bearer token comes from
- * settings; a call without one is refused with 401, a call beyond the team's role
- * or on another team's preset with 403. Config changes go to the platform log;
- * the answer waits until this gateway has applied the record and says whether it won.
+ * The administration API of a gateway: publishes and activates presets, drains backend
+ * servers, and reports the status of every gateway. The settings define each team's bearer
+ * token; a request without a valid token gets status 401, and one beyond the team's role or
+ * for another team's preset gets 403. Configuration changes are appended to the platform
+ * log; the response waits until this gateway has processed the record and states whether
+ * the change was accepted.
  */
 import {randomUUID} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -22,9 +23,9 @@
 
 const log = createLogger('admin');
 
-/** How long a publish waits to see its record applied, in milliseconds. */
-export const applyWaitMs = 17_000;
-const applyPollMs = 20;
+/** Longest wait for this gateway to process a published record, in milliseconds. */
+export const applyTimeoutMs = 17_000;
+const applyPollIntervalMs = 20;
 
 const checkActivation = compileCheck<{name: string}>({
 	type: 'object',
@@ -40,7 +41,7 @@
 	additionalProperties: false,
 }, 'drain');
 
-/** What the admin routes need from the rest of the gateway. */
+/** The dependencies of the admin routes. */
 export type AdminContext = {
 	teams: Team[];
 	config: ConfigTable;
@@ -50,10 +51,10 @@
 
 /** Adds the admin routes to a server. */
 export function addAdminRoutes(server: Hapi.Server, context: AdminContext): void {
-	const teamByToken = new Map(context.teams.map(team => [team.token, team]));
+	const teamsByToken = new Map(context.teams.map(team => [team.token, team]));
 
 	const authorize = (request: Hapi.Request, h: Hapi.ResponseToolkit, role: TeamRole): Team | Hapi.ResponseObject => {
-		const team = teamByToken.get(bearerToken(request));
+		const team = teamsByToken.get(bearerToken(request));
 		if (!team) {
 			return h.response({error: 'a team bearer token is required'}).code(401);
 		}
@@ -70,14 +71,14 @@
 			await context.platformLog.append(configStream, [record]);
 		} catch (error) {
 			if (!(error instanceof UnknownAppendError)) {
-				log.warn('config change refused by the platform log.', {id: record.id, error: String(error)});
+				log.warn('platform log refused the config change.', {id: record.id, error: String(error)});
 				return h.response({error: 'the platform log refused the change; it was not published', outcome: 'not-run'}).code(503).header('retry-after', '1');
 			}
 
-			log.warn('config append outcome unknown, watching for it.', {id: record.id});
+			log.warn('outcome of the config append unknown, waiting for the record.', {id: record.id});
 		}
 
-		const deadline = Date.now() + applyWaitMs;
+		const deadline = Date.now() + applyTimeoutMs;
 		while (Date.now() < deadline) {
 			const outcome = context.config.outcomes.get(record.id);
 			if (outcome) {
@@ -89,19 +90,19 @@
 			}
 
 			// eslint-disable-next-line no-await-in-loop
-			await delay(applyPollMs);
+			await delay(applyPollIntervalMs);
 		}
 
 		return h.response({error: 'the change was not seen applied in time; its outcome is unknown', outcome: 'unknown', id: record.id}).code(504);
 	};
 
-	const baseOf = (request: Hapi.Request) => {
+	const readBaseVersion = (request: Hapi.Request) => {
 		const base = (request.payload as {base?: number} | undefined)?.base;
 		return typeof base === 'number' ? base : context.config.version;
 	};
 
-	/** Adds a route that only operators may call, and hands it their team. */
-	const addOperatorRoute = (path: string, act: (team: Team, request: Hapi.Request, h: Hapi.ResponseToolkit) => ReturnType<typeof publish> | Hapi.ResponseObject) => {
+	/** Adds a route that only operators may call; `perform` gets the caller's team. */
+	const addOperatorRoute = (path: string, perform: (team: Team, request: Hapi.Request, h: Hapi.ResponseToolkit) => ReturnType<typeof publish> | Hapi.ResponseObject) => {
 		server.route({
 			method: 'POST',
 			path,
@@ -112,7 +113,7 @@
 				}
 
 				try {
-					return await act(team, request, h);
+					return await perform(team, request, h);
 				} catch (error) {
 					if (error instanceof ProtocolError) {
 						return h.response({error: error.message}).code(400);
@@ -132,19 +133,19 @@
 		}
 
 		return publish(h, {
-			kind: ConfigRecordKind.Preset, id: randomUUID(), team: team.name, base: baseOf(request), preset,
+			kind: ConfigRecordKind.Preset, id: randomUUID(), team: team.name, base: readBaseVersion(request), preset,
 		});
 	});
 	addOperatorRoute('/admin/activate', async (team, request, h) => {
 		const {name} = checkActivation(request.payload);
 		return publish(h, {
-			kind: ConfigRecordKind.Activate, id: randomUUID(), team: team.name, base: baseOf(request), name,
+			kind: ConfigRecordKind.Activate, id: randomUUID(), team: team.name, base: readBaseVersion(request), name,
 		});
 	});
 	addOperatorRoute('/admin/drain', async (team, request, h) => {
 		const {backendServer, undo} = checkDrain(request.payload);
 		return publish(h, {
-			kind: undo ? ConfigRecordKind.Undrain : ConfigRecordKind.Drain, id: randomUUID(), team: team.name, base: baseOf(request), backendServer,
+			kind: undo ? ConfigRecordKind.Undrain : ConfigRecordKind.Drain, id: randomUUID(), team: team.name, base: readBaseVersion(request), backendServer,
 		});
 	});
 
--- a/src/transport/backend-pool.ts
+++ b/src/transport/backend-pool.ts
@@ -1,7 +1,7 @@
 /**
- * Connections to backend servers and single exchanges over them. A connection is kept only
- * while nothing is in doubt about it: bytes that arrive while no request waits, an answer
- * of another request or a broken one close it.
+ * Keep-alive connections to backend servers, and requests over them. A connection is kept
+ * open only while its state is certain: bytes that arrive while no request is waiting, a
+ * response to another request, or an incomplete response close it.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -12,95 +12,94 @@
 import {type Backend} from '../protocol/serving.js';
 import {ConnectError, TransportError} from './errors.js';
 
-/** An idle connection is closed after this, in milliseconds, if the backend server names no earlier time. */
-const idleMs = 4000;
-/** Idle time allowed on a connection whose backend server named no time, in milliseconds: it may close within its first second. */
-const unstatedIdleMs = 400;
-/** Share of the stated idle time that is used, so that a request doesn't cross the close. */
-const idleShare = 0.6;
-/** After a kept connection turned out to be dropped, requests that may run only once are sent on connections this young, in milliseconds, or new ones: a reset then leaves open whether they ran. */
-const trustedIdleMs = 100;
-/** ... for this long, in milliseconds. */
-const distrustMs = 60_000;
-/** First probe of a silent connection, in milliseconds. */
-const keepAliveProbeMs = 1000;
+/** Longest time that an idle connection is kept, in milliseconds; a backend server may state a shorter one. */
+const maxIdleMs = 4000;
+/** Idle time allowed on a connection whose backend server stated no timeout, in milliseconds; such a server may close it within the first second. */
+const defaultIdleMs = 400;
+/** Share of the stated idle timeout that is used, so that a request isn't sent while the backend server closes the connection. */
+const idleTimeoutShare = 0.6;
+/** Idle time up to which a connection is reused for non-retryable requests while reuse is restricted, in milliseconds; beyond it they get a new connection. A reset of a reused connection would leave it unknown whether such a request ran. */
+const nonRetryableIdleMs = 100;
+/** Time for which reuse is restricted after a reused connection was reset, in milliseconds. */
+const reuseRestrictionMs = 60_000;
+/** Time without traffic before the first TCP keep-alive probe, in milliseconds. */
+const keepAliveProbeDelayMs = 1000;
 
-/** Reads the idle time from a Keep-Alive header, in milliseconds. */
-function statedIdleMs(value: string | string[] | undefined): number {
+/** Determines from a Keep-Alive header how long a connection may stay idle, in milliseconds. */
+function readIdleTimeoutMs(value: string | string[] | undefined): number {
 	const seconds = /timeout=(\d+)/v.exec(String(value ?? ''))?.[1];
-	return seconds === undefined ? unstatedIdleMs : Math.min(idleMs, Number(seconds) * 1000 * idleShare);
+	return seconds === undefined ? defaultIdleMs : Math.min(maxIdleMs, Number(seconds) * 1000 * idleTimeoutShare);
 }
 
-/** Closes an idle connection on which bytes arrive. */
+/** Closes an idle connection on which bytes arrive, since they belong to no request. */
 const destroyOnData = function (this: Socket): void {
 	this.destroy();
 };
 
-/** The kept connections to all backend servers. */
+/** The keep-alive connections to all backend servers. */
 export class BackendPool extends Agent {
-	private readonly idleLimits = new WeakMap<Socket, number>();
+	private readonly idleTimeoutsMs = new WeakMap<Socket, number>();
 	private readonly idleTimers = new WeakMap<Socket, NodeJS.Timeout>();
 	private readonly idleSinceMs = new WeakMap<Socket, number>();
-	private distrustedUntilMs = Number.NEGATIVE_INFINITY;
-	/** Opens a connection for each request that no kept one is trusted with. */
-	private readonly single = new Agent({keepAlive: false, noDelay: true});
+	private reuseRestrictedUntilMs = Number.NEGATIVE_INFINITY;
+	/** Opens a new connection for each request that may not reuse one. */
+	private readonly singleUseAgent = new Agent({keepAlive: false, noDelay: true});
 
 	constructor() {
 		super({
-			keepAlive: true, keepAliveMsecs: keepAliveProbeMs, maxFreeSockets: 64, scheduling: 'lifo', noDelay: true,
+			keepAlive: true, keepAliveMsecs: keepAliveProbeDelayMs, maxFreeSockets: 64, scheduling: 'lifo', noDelay: true,
 		});
 	}
 
-	/** Notes that a kept connection was reset by the request sent on it. */
-	noteDropped(nowMs: number): void {
-		this.distrustedUntilMs = nowMs + distrustMs;
+	/** Records that a reused connection failed under a request, and restricts reuse for a while. */
+	recordReuseFailure(nowMs: number): void {
+		this.reuseRestrictedUntilMs = nowMs + reuseRestrictionMs;
 	}
 
-	/** The agent that should send a request: this pool, unless its kept connections are not trusted with it. */
-	agentFor(backend: Backend, isRepeatable: boolean, nowMs: number): Agent {
-		if (isRepeatable || nowMs >= this.distrustedUntilMs) {
+	/** Selects the agent for a request: this pool, or one that opens a new connection if the request is not retryable and reuse is restricted. */
+	selectAgent(backend: Backend, isRepeatable: boolean, nowMs: number): Agent {
+		if (isRepeatable || nowMs >= this.reuseRestrictedUntilMs) {
 			return this;
 		}
 
-		// The next request takes the connection that was used last.
-		const last = this.freeSockets[this.getName({host: backend.host, port: backend.port})]?.at(-1);
-		const isTrusted = !last || nowMs - (this.idleSinceMs.get(last) ?? nowMs) <= trustedIdleMs;
-		return isTrusted ? this : this.single;
+		// The pool reuses the most recently used connection first.
+		const lastUsedSocket = this.freeSockets[this.getName({host: backend.host, port: backend.port})]?.at(-1);
+		const canReuse = !lastUsedSocket || nowMs - (this.idleSinceMs.get(lastUsedSocket) ?? nowMs) <= nonRetryableIdleMs;
+		return canReuse ? this : this.singleUseAgent;
 	}
 
 	override destroy(): void {
-		this.single.destroy();
+		this.singleUseAgent.destroy();
 		super.destroy();
 	}
 
-	/** Notes how long the backend server keeps this connection. */
-	noteAnswer(response: IncomingMessage): void {
-		this.idleLimits.set(response.socket, statedIdleMs(response.headers['keep-alive']));
+	/** Records how long the backend server keeps the connection of this response open. */
+	recordIdleTimeout(response: IncomingMessage): void {
+		this.idleTimeoutsMs.set(response.socket, readIdleTimeoutMs(response.headers['keep-alive']));
 	}
 
-	/** Called by the agent when an exchange is over. */
+	/** Called by the agent when a response has ended; decides whether the connection is kept. */
 	// eslint-disable-next-line @typescript-eslint/strict-void-return -- the agent closes the connection unless true is returned; the types say void.
 	override keepSocketAlive(socket: Socket): boolean {
-		socket.setKeepAlive(true, keepAliveProbeMs);
+		socket.setKeepAlive(true, keepAliveProbeDelayMs);
 		// An idle connection must not keep a stopping process alive.
 		socket.unref();
-		// Bytes on an idle connection belong to no request.
 		socket.on('data', destroyOnData);
 		this.idleSinceMs.set(socket, performance.now());
-		const limitMs = this.idleLimits.get(socket) ?? unstatedIdleMs;
-		if (limitMs <= 0) {
+		const idleTimeoutMs = this.idleTimeoutsMs.get(socket) ?? defaultIdleMs;
+		if (idleTimeoutMs <= 0) {
 			return false;
 		}
 
 		const timer = setTimeout(() => {
 			socket.destroy();
-		}, limitMs);
+		}, idleTimeoutMs);
 		timer.unref();
 		this.idleTimers.set(socket, timer);
 		return true;
 	}
 
-	/** Called by the agent when an idle connection gets its next request. */
+	/** Called by the agent before an idle connection sends its next request. */
 	override reuseSocket(socket: Socket, request: ClientRequest): void {
 		clearTimeout(this.idleTimers.get(socket));
 		socket.off('data', destroyOnData);
@@ -108,62 +107,62 @@
 	}
 }
 
-/** One request for one backend server. */
+/** One request to one backend server. */
 export type Exchange = {
 	backend: Backend;
 	method: string;
 	path: string;
-	/** Names and values by turns. */
+	/** Alternating names and values. */
 	headers: string[];
 	body: Uint8Array | undefined;
-	/** Whether it may be sent again after a failure that leaves open whether it ran. */
+	/** Whether the request may be sent again after a failure that leaves it unknown whether it ran. */
 	isRepeatable: boolean;
-	/** Time for a new connection to open, in milliseconds. */
+	/** Connect timeout, in milliseconds. */
 	connectMs: number;
-	/** Aborting it closes the connection. */
+	/** Closes the connection when it aborts. */
 	signal: AbortSignal;
 };
 
-const watchedSockets = new WeakSet<Socket>();
-const brokenSockets = new WeakSet<Socket>();
+const trackedSockets = new WeakSet<Socket>();
+const resetSockets = new WeakSet<Socket>();
 
 /**
- * Notes a connection's reset before node sees it, since node takes one for the end of a
- * body that has no length. A reset that comes together with the last bytes is even reported
- * as a plain end; it shows in that the connection has no peer any more.
+ * Detects the reset of a connection before Node.js handles it, since Node.js takes a reset
+ * for the end of a body without a length. A reset that arrives together with the last bytes
+ * is even reported as a normal end; it is recognised by the missing remote address.
  */
-function watchForErrors(socket: Socket): void {
-	if (watchedSockets.has(socket)) {
+function trackResets(socket: Socket): void {
+	if (trackedSockets.has(socket)) {
 		return;
 	}
 
-	watchedSockets.add(socket);
+	trackedSockets.add(socket);
 	socket.prependOnceListener('error', () => {
-		brokenSockets.add(socket);
+		resetSockets.add(socket);
 	});
 	socket.prependOnceListener('end', () => {
 		if (socket.remoteAddress === undefined) {
-			brokenSockets.add(socket);
+			resetSockets.add(socket);
 		}
 	});
 }
 
-/** An answer whose body is still to be read. */
+/** A response whose body has not been read yet. */
 export class BackendAnswer {
 	constructor(
 		readonly response: IncomingMessage,
 		private readonly request: ClientRequest,
 	) {
-		watchForErrors(response.socket);
+		trackResets(response.socket);
 	}
 
 	get status(): number {
 		return this.response.statusCode ?? 0;
 	}
 
-	/** Whether the body came whole; meaningful once it ended. */
+	/** Whether the body is complete; valid only after its end. */
 	get isWhole(): boolean {
-		return this.response.complete && !brokenSockets.has(this.response.socket);
+		return this.response.complete && !resetSockets.has(this.response.socket);
 	}
 
 	/** Closes the connection. */
@@ -174,26 +173,26 @@
 	/**
 	 * Reads the whole body.
 	 *
-	 * @throws {TransportError} When it breaks off or is longer than `mostBytes`.
+	 * @throws {TransportError} When the body is incomplete or longer than `maxBytes`.
 	 */
-	async read(mostBytes: number): Promise<Uint8Array> {
+	async read(maxBytes: number): Promise<Uint8Array> {
 		const chunks: Uint8Array[] = [];
 		let length = 0;
 		try {
 			for await (const chunk of this.response as AsyncIterable<Uint8Array>) {
 				chunks.push(chunk);
 				length += chunk.length;
-				if (length > mostBytes) {
-					throw new TransportError(`answer is longer than ${mostBytes} bytes`);
+				if (length > maxBytes) {
+					throw new TransportError(`response body is longer than ${maxBytes} bytes`);
 				}
 			}
 		} catch (error) {
 			this.destroy();
-			throw error instanceof TransportError ? error : new TransportError('answer broke off', {cause: error});
+			throw error instanceof TransportError ? error : new TransportError('response body is incomplete', {cause: error});
 		}
 
 		if (!this.isWhole) {
-			throw new TransportError('answer broke off');
+			throw new TransportError('response body is incomplete');
 		}
 
 		return Buffer.concat(chunks);
@@ -201,10 +200,10 @@
 }
 
 /**
- * Sends a request and waits for the head of its answer.
+ * Sends a request and waits for the status and headers of the response.
  *
- * @throws {ConnectError} When no connection opened: nothing was sent.
- * @throws {TransportError} When the connection broke or the signal aborted: it may have run.
+ * @throws {ConnectError} When no connection could be opened; nothing was sent.
+ * @throws {TransportError} When the connection failed or the signal aborted; the request may have run.
  */
 export async function exchange(pool: BackendPool, options: Exchange): Promise<BackendAnswer> {
 	const {
@@ -213,12 +212,12 @@
 	signal.throwIfAborted();
 	const hasBody = body !== undefined && (body.length > 0 || (method !== 'GET' && method !== 'HEAD'));
 	const request = startRequest({
-		agent: pool.agentFor(backend, isRepeatable, performance.now()), host: backend.host, port: backend.port, method, path, setHost: false,
+		agent: pool.selectAgent(backend, isRepeatable, performance.now()), host: backend.host, port: backend.port, method, path, setHost: false,
 		headers: hasBody ? [...headers, 'Content-Length', String(body.length)] : headers,
 	});
 	let isConnected = false;
 	const abort = () => {
-		request.destroy(new TransportError('aborted'));
+		request.destroy(new TransportError('request aborted'));
 	};
 
 	signal.addEventListener('abort', abort, {once: true});
@@ -244,18 +243,18 @@
 	});
 	return new Promise((resolve, reject) => {
 		request.once('response', response => {
-			pool.noteAnswer(response);
+			pool.recordIdleTimeout(response);
 			resolve(new BackendAnswer(response, request));
 		});
 		request.on('error', error => {
 			if (request.reusedSocket && !signal.aborted) {
-				pool.noteDropped(performance.now());
+				pool.recordReuseFailure(performance.now());
 			}
 
 			if (isConnected) {
-				reject(new TransportError(`${backend.id} gave no answer`, {cause: error}));
+				reject(new TransportError(`${backend.id} sent no response`, {cause: error}));
 			} else {
-				reject(new ConnectError(`${backend.id} could not be connected to`, {cause: error}));
+				reject(new ConnectError(`cannot connect to ${backend.id}`, {cause: error}));
 			}
 		});
 		request.end(hasBody ? body : undefined);
--- a/src/transport/caller-context.ts
+++ b/src/transport/caller-context.ts
@@ -1,4 +1,4 @@
-/** What the caller routes share, in a module below all of them. */
+/** Types that all caller routes share. */
 import type Hapi from '@hapi/hapi';
 import {type ClientAccount} from '../protocol/gateway-settings.js';
 import {type Completions} from '../coordination/completions.js';
@@ -8,7 +8,7 @@
 import {type ConfigTable} from '../state/config-table.js';
 import {type CallerMetrics} from './caller-metrics.js';
 
-/** What the caller routes need from the rest of the gateway. */
+/** The dependencies of the caller routes. */
 export type CallerContext = {
 	accounts: ClientAccount[];
 	completions: Completions;
@@ -18,11 +18,12 @@
 	config: ConfigTable;
 	metrics: CallerMetrics;
 	isReady: () => boolean;
-	/** Aborted when the gateway stops; requests in flight are finished first. */
+	/** Aborts when the gateway stops, after the requests in flight have ended or the drain time is over. */
 	signal: AbortSignal;
 };
 
-/** A route's context with the caller's client account resolved from its API key. */
+/** The dependencies of routes that need the caller's client account. */
 export type AuthenticatedContext = CallerContext & {
-	accountOf: (request: Hapi.Request) => string | undefined;
+	/** Finds the client account of a request's API key. */
+	findAccount: (request: Hapi.Request) => string | undefined;
 };
--- a/src/transport/completion-routes.ts
+++ b/src/transport/completion-routes.ts
@@ -1,9 +1,9 @@
 /**
- * The OpenAI-compatible completion routes, streamed as server-sent events or whole.
+ * The OpenAI-compatible completion routes, streamed as server-sent events or as one response.
  *
- * Each event of a stream carries its token's number as its id. A caller whose connection
- * broke sends the same request again, to any gateway, with the stream's `x-request-id`
- * and the last id it saw as `last-event-id`, and gets the rest.
+ * The id of each event of a stream is its token's sequence number. After a lost connection,
+ * a caller resumes the stream at any gateway: it repeats the request with the stream's
+ * `x-request-id` and the last received id as `last-event-id`, and gets the remaining tokens.
  */
 import {randomUUID} from 'node:crypto';
 import {PassThrough} from 'node:stream';
@@ -17,11 +17,11 @@
 import {type CompletionJob} from '../coordination/flight.js';
 import {NoBackendError, OutcomeUnknownError} from '../coordination/errors.js';
 import {createLogger} from '../log.js';
-import {admitCaller, refuseOverLimit} from './caller-admission.js';
+import {admitRequest, refuseOverLimit} from './caller-admission.js';
 import {
-	answerFailure, refuse, refuseOverloaded, refuseUnknownKey,
-} from './caller-answers.js';
-import {answeredWhole} from './caller-metrics.js';
+	respondWithFailure, refuseRequest, refuseOverloaded, refuseUnknownKey,
+} from './caller-responses.js';
+import {completedOutcome} from './caller-metrics.js';
 import {type AuthenticatedContext} from './caller-context.js';
 import {headerValue} from './http-server.js';
 import {doneEvent, formatEvent} from './sse.js';
@@ -31,18 +31,18 @@
 const requestIdPattern = /^[\w\-]{1,64}$/v;
 const engineFailedMessage = 'The engine failed during the request.';
 
-/** A completion request as a caller made it. */
+/** A validated completion request of a caller. */
 type CallerRequest = {
 	job: CompletionJob;
-	chat: boolean;
-	stream: boolean;
+	isChat: boolean;
+	isStreaming: boolean;
 	createdSeconds: number;
 };
 
 /** Adds the completion routes to a server. */
 export function addCompletionRoutes(server: Hapi.Server, context: AuthenticatedContext): void {
-	server.route({method: 'POST', path: '/v1/chat/completions', handler: async (request, h) => serve(request, h, context, true)});
-	server.route({method: 'POST', path: '/v1/completions', handler: async (request, h) => serve(request, h, context, false)});
+	server.route({method: 'POST', path: '/v1/chat/completions', handler: async (request, h) => serveCompletion(request, h, context, true)});
+	server.route({method: 'POST', path: '/v1/completions', handler: async (request, h) => serveCompletion(request, h, context, false)});
 	server.route({
 		method: 'GET',
 		path: '/v1/models',
@@ -50,18 +50,18 @@
 	});
 }
 
-async function serve(request: Hapi.Request, h: Hapi.ResponseToolkit, context: AuthenticatedContext, chat: boolean): Promise<Hapi.ResponseObject> {
-	const account = context.accountOf(request);
+async function serveCompletion(request: Hapi.Request, h: Hapi.ResponseToolkit, context: AuthenticatedContext, isChat: boolean): Promise<Hapi.ResponseObject> {
+	const account = context.findAccount(request);
 	if (account === undefined) {
 		return refuseUnknownKey(h);
 	}
 
 	let caller: CallerRequest;
 	try {
-		caller = readRequest(request, account, chat);
+		caller = readRequest(request, account, isChat);
 	} catch (error) {
 		if (error instanceof ProtocolError) {
-			return refuse(h, {status: 400, message: error.message, code: 'invalid_request'});
+			return refuseRequest(h, {status: 400, message: error.message, code: 'invalid_request'});
 		}
 
 		throw error;
@@ -69,44 +69,48 @@
 
 	const {job} = caller;
 	if (!context.completions.serves(job.model)) {
-		return refuse(h, {status: 404, message: `The model ${job.model} does not exist.`, code: 'model_not_found'});
+		return refuseRequest(h, {status: 404, message: `The model ${job.model} does not exist.`, code: 'model_not_found'});
 	}
 
-	const admission = admitCaller(context, account, Date.now());
+	const admission = admitRequest(context, account, Date.now());
 	if (!admission.admitted) {
 		return refuseOverLimit(h, context, account, admission);
 	}
 
 	const {metrics} = context;
-	const admittedMs = performance.now();
-	const abort = new AbortController();
+	const admittedAtMs = performance.now();
+	const disconnect = new AbortController();
 	request.raw.res.once('close', () => {
-		abort.abort();
+		disconnect.abort();
 	});
-	const tokens = context.completions.stream(job, abort.signal);
+	const tokens = context.completions.stream(job, disconnect.signal);
 	let first: IteratorResult<Token>;
 	try {
-		// The answer's status waits for the first token, so that a refusal can still be told.
+		// The status is sent after the first token, so that a request without one can still be refused.
 		first = await tokens.next();
 	} catch (error) {
 		admission.release();
-		metrics.noteEnd(account, error instanceof NoBackendError ? Outcome.NotRun : Outcome.Unknown);
-		return answerNoFirstToken(h, job, error);
+		metrics.recordEnd(account, error instanceof NoBackendError ? Outcome.NotRun : Outcome.Unknown);
+		return respondWithoutToken(h, job, error);
 	}
 
-	metrics.noteFirstToken(account, performance.now() - admittedMs);
-	const rest = withFirst(first, tokens);
-	const onEnd = (isWhole: boolean) => {
+	metrics.recordFirstToken(account, performance.now() - admittedAtMs);
+	const allTokens = prependFirst(first, tokens);
+	const onEnd = (isComplete: boolean) => {
 		admission.release();
-		metrics.noteEnd(account, isWhole ? answeredWhole : Outcome.Unknown);
+		metrics.recordEnd(account, isComplete ? completedOutcome : Outcome.Unknown);
 	};
 
-	return caller.stream ? answerStream(h, caller, rest, onEnd) : answerWhole(h, caller, rest, onEnd);
+	return caller.isStreaming ? respondStreaming(h, caller, allTokens, onEnd) : respondWhole(h, caller, allTokens, onEnd);
 }
 
-/** @throws {ProtocolError} When the request is malformed. */
-function readRequest(request: Hapi.Request, account: string, chat: boolean): CallerRequest {
-	const body = chat ? checkChatRequest(request.payload) : checkCompletionRequest(request.payload);
+/**
+ * Reads and validates a request.
+ *
+ * @throws {ProtocolError} When the request is malformed.
+ */
+function readRequest(request: Hapi.Request, account: string, isChat: boolean): CallerRequest {
+	const body = isChat ? checkChatRequest(request.payload) : checkCompletionRequest(request.payload);
 	const requestId = headerValue(request, 'x-request-id') ?? `req-${randomUUID()}`;
 	if (!requestIdPattern.test(requestId)) {
 		throw new ProtocolError('x-request-id must be 1 to 64 letters, digits, dashes or underscores');
@@ -119,8 +123,8 @@
 	}
 
 	return {
-		chat,
-		stream: body.stream ?? false,
+		isChat,
+		isStreaming: body.stream ?? false,
 		createdSeconds: Math.floor(Date.now() / 1000),
 		job: {
 			requestId,
@@ -134,14 +138,14 @@
 	};
 }
 
-function answerNoFirstToken(h: Hapi.ResponseToolkit, job: CompletionJob, error: unknown): Hapi.ResponseObject {
-	log.warn('request given up before its first token.', {request: job.requestId, account: job.account, error: String(error)});
+function respondWithoutToken(h: Hapi.ResponseToolkit, job: CompletionJob, error: unknown): Hapi.ResponseObject {
+	log.warn('request failed before its first token.', {request: job.requestId, account: job.account, error: String(error)});
 	if (error instanceof NoBackendError) {
 		return refuseOverloaded(h, 'No engine can take the request now.');
 	}
 
 	if (error instanceof OutcomeUnknownError) {
-		return answerFailure(h, {
+		return respondWithFailure(h, {
 			status: 502, message: engineFailedMessage, code: 'engine_failed', outcome: Outcome.Unknown,
 		});
 	}
@@ -149,77 +153,77 @@
 	throw error;
 }
 
-async function * withFirst(first: IteratorResult<Token>, rest: AsyncGenerator<Token>): AsyncGenerator<Token> {
+async function * prependFirst(first: IteratorResult<Token>, rest: AsyncGenerator<Token>): AsyncGenerator<Token> {
 	if (!first.done) {
 		yield first.value;
 		yield * rest;
 	}
 }
 
-async function answerWhole(h: Hapi.ResponseToolkit, caller: CallerRequest, tokens: AsyncGenerator<Token>, onEnd: (isWhole: boolean) => void): Promise<Hapi.ResponseObject> {
-	const {job, chat, createdSeconds} = caller;
+async function respondWhole(h: Hapi.ResponseToolkit, caller: CallerRequest, tokens: AsyncGenerator<Token>, onEnd: (isComplete: boolean) => void): Promise<Hapi.ResponseObject> {
+	const {job, isChat, createdSeconds} = caller;
 	let text = '';
-	let isWhole = false;
+	let isComplete = false;
 	try {
 		for await (const token of tokens) {
 			text += token.text;
 		}
 
-		isWhole = true;
+		isComplete = true;
 	} catch (error) {
 		log.warn('request failed after dispatch.', {request: job.requestId, error: String(error)});
-		return answerFailure(h, {
+		return respondWithFailure(h, {
 			status: 502, message: engineFailedMessage, code: 'engine_failed', outcome: Outcome.Unknown,
 		});
 	} finally {
-		onEnd(isWhole);
+		onEnd(isComplete);
 	}
 
-	const promptCount = promptTokens(job.prompt).length;
-	const completionCount = job.maxTokens - job.resumeFrom;
-	const choice = chat ? {message: {role: 'assistant', content: text}} : {text};
+	const promptTokenCount = promptTokens(job.prompt).length;
+	const completionTokenCount = job.maxTokens - job.resumeFrom;
+	const choice = isChat ? {message: {role: 'assistant', content: text}} : {text};
 	return h.response({
 		id: job.requestId,
-		object: chat ? 'chat.completion' : 'text_completion',
+		object: isChat ? 'chat.completion' : 'text_completion',
 		created: createdSeconds,
 		model: job.model,
 		choices: [{index: 0, ...choice, finish_reason: 'length'}],
-		usage: {prompt_tokens: promptCount, completion_tokens: completionCount, total_tokens: promptCount + completionCount},
+		usage: {prompt_tokens: promptTokenCount, completion_tokens: completionTokenCount, total_tokens: promptTokenCount + completionTokenCount},
 	});
 }
 
-function answerStream(h: Hapi.ResponseToolkit, caller: CallerRequest, tokens: AsyncGenerator<Token>, onEnd: (isWhole: boolean) => void): Hapi.ResponseObject {
+function respondStreaming(h: Hapi.ResponseToolkit, caller: CallerRequest, tokens: AsyncGenerator<Token>, onEnd: (isComplete: boolean) => void): Hapi.ResponseObject {
 	const {job} = caller;
-	const out = new PassThrough();
+	const output = new PassThrough();
 	void (async () => {
-		let isWhole = false;
+		let isComplete = false;
 		try {
 			for await (const token of tokens) {
-				out.write(formatEvent(JSON.stringify(renderChunk(caller, token)), token.seq));
+				output.write(formatEvent(JSON.stringify(renderChunk(caller, token)), token.seq));
 			}
 
-			out.write(doneEvent);
-			isWhole = true;
+			output.write(doneEvent);
+			isComplete = true;
 		} catch (error) {
 			log.warn('stream failed after dispatch.', {request: job.requestId, error: String(error)});
-			out.write(formatEvent(JSON.stringify(errorBody(engineFailedMessage, 'server_error', 'engine_failed', Outcome.Unknown))));
+			output.write(formatEvent(JSON.stringify(errorBody(engineFailedMessage, 'server_error', 'engine_failed', Outcome.Unknown))));
 		} finally {
-			onEnd(isWhole);
-			out.end();
+			onEnd(isComplete);
+			output.end();
 		}
 	})();
 
-	return h.response(out).type('text/event-stream').header('cache-control', 'no-cache').header('x-request-id', job.requestId);
+	return h.response(output).type('text/event-stream').header('cache-control', 'no-cache').header('x-request-id', job.requestId);
 }
 
-function renderChunk({job, chat, createdSeconds}: CallerRequest, token: Token): Record<string, unknown> {
+function renderChunk({job, isChat, createdSeconds}: CallerRequest, token: Token): Record<string, unknown> {
 	const delta = token.seq === 0 ? {role: 'assistant', content: token.text} : {content: token.text};
 	return {
 		id: job.requestId,
-		object: chat ? 'chat.completion.chunk' : 'text_completion',
+		object: isChat ? 'chat.completion.chunk' : 'text_completion',
 		created: createdSeconds,
 		model: job.model,
 		seq: token.seq,
-		choices: [{index: 0, ...(chat ? {delta} : {text: token.text}), finish_reason: token.last ? 'length' : null}],
+		choices: [{index: 0, ...(isChat ? {delta} : {text: token.text}), finish_reason: token.last ? 'length' : null}],
 	};
 }
--- a/src/transport/datagram-link.ts
+++ b/src/transport/datagram-link.ts
@@ -1,25 +1,26 @@
 /**
- * Datagrams between daemons, encoded with `msgpackr`. Datagrams rather than `ws` links:
- * every message repeats what still counts, so a lost one costs nothing, there is no
- * connection that can go silent, and a frozen peer holds nobody up.
+ * UDP datagrams between daemons, encoded with `msgpackr`. Datagrams are used rather than
+ * WebSocket connections because every message repeats all current information: a lost
+ * message does no harm, no connection can become unresponsive unnoticed, and a frozen peer
+ * delays nobody.
  */
 import {createSocket, type Socket} from 'node:dgram';
 import {pack, unpack} from 'msgpackr';
 import {type PeerAddress} from '../protocol/fleet-messages.js';
 import {TransportError} from './errors.js';
 
-/** Sends messages to peers; a lost one is not noticed. */
+/** Sends messages to peers without detecting losses. */
 export type MessageLink = {
 	send(message: unknown, to: PeerAddress[]): void;
 };
 
-/** Largest datagram sent, in bytes, so that it is not cut into fragments. */
-export const mostDatagramBytes = 1400;
+/** Largest datagram sent, in bytes; larger ones would be fragmented. */
+export const maxDatagramBytes = 1400;
 
-/** One bound datagram socket. */
+/** One bound UDP socket. */
 export class DatagramLink implements MessageLink {
 	/**
-	 * Binds an address and hands every readable message to `onMessage`.
+	 * Binds an address and passes every decodable message to `onMessage` until the signal aborts.
 	 *
 	 * @throws {TransportError} When the address cannot be bound.
 	 */
@@ -30,7 +31,7 @@
 			try {
 				message = unpack(bytes);
 			} catch {
-				// Not from a peer: anyone can send a datagram.
+				// A datagram that cannot be decoded is not from a peer; anyone can send one.
 				return;
 			}
 
@@ -42,7 +43,7 @@
 			});
 			socket.bind(address.port, address.host, resolve);
 		});
-		// A peer that is gone shows as an error on a later send; silence tells the same.
+		// A later send fails if a peer is gone; its missing messages reveal that anyway.
 		socket.on('error', () => undefined);
 		signal.addEventListener('abort', () => {
 			socket.close();
--- /dev/null
+++ b/src/transport/diagnostics-server.ts
@@ -0,0 +1,66 @@
+/**
+ * The HTTP server for the metrics and state of a serving daemon. It loads its HTTP library
+ * (hapi) with the first request, since loading takes a third of the CPU time of a start, and
+ * after a power outage every daemon would spend that time before it can serve clients.
+ */
+import {
+	createServer, type IncomingMessage, type Server, type ServerResponse,
+} from 'node:http';
+import {type Registry} from 'prom-client';
+import {type Listen} from '../protocol/settings.js';
+import {TransportError} from './errors.js';
+import {type StateReader} from './http-server.js';
+
+/** Serves the metrics and state of a process. */
+export class DiagnosticsServer {
+	/**
+	 * Starts to listen.
+	 *
+	 * @throws {TransportError} When the address cannot be bound.
+	 */
+	static async open(address: Listen, registry: Registry, readState: StateReader): Promise<DiagnosticsServer> {
+		const listener = createServer();
+		const diagnosticsServer = new DiagnosticsServer(listener, registry, readState);
+		await new Promise<void>((resolve, reject) => {
+			listener.once('error', error => {
+				reject(new TransportError(`cannot listen on ${address.host}:${address.port}`, {cause: error}));
+			});
+			listener.listen(address.port, address.host, resolve);
+		});
+		return diagnosticsServer;
+	}
+
+	private constructor(
+		private readonly listener: Server,
+		private readonly registry: Registry,
+		private readonly readState: StateReader,
+	) {
+		listener.once('request', (request, response) => {
+			void this.loadAndServe(request, response);
+		});
+	}
+
+	/** Closes the port and all its connections. */
+	close(): void {
+		this.listener.close();
+		this.listener.closeAllConnections();
+	}
+
+	/** Loads the HTTP library, and passes it the port and the requests that arrived meanwhile. */
+	private async loadAndServe(request: IncomingMessage, response: ServerResponse): Promise<void> {
+		const pendingExchanges: Array<[IncomingMessage, ServerResponse]> = [[request, response]];
+		const enqueue = (...exchange: [IncomingMessage, ServerResponse]) => {
+			pendingExchanges.push(exchange);
+		};
+
+		this.listener.on('request', enqueue);
+		const {addDiagnosticsRoutes, createServerFromListener} = await import('./http-server.js');
+		this.listener.off('request', enqueue);
+		const server = createServerFromListener(this.listener);
+		addDiagnosticsRoutes(server, this.registry, this.readState);
+		await server.initialize();
+		for (const exchange of pendingExchanges) {
+			this.listener.emit('request', ...exchange);
+		}
+	}
+}
--- a/src/transport/engine-client.ts
+++ b/src/transport/engine-client.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to one model engine (see `protocol/engine-api.ts`).
+ * Client functions of the model engines' HTTP API (see `protocol/engine-api.ts`).
  */
 import {
 	type CancelAnswer, type EngineChunk, type EngineCompletionRequest, type EngineLoad, type EngineOrder, type KvImport, type KvSnapshot, notRunCode,
@@ -10,20 +10,21 @@
 import {EngineRefusalError, HttpStatusError} from './errors.js';
 import {readEvents} from './sse.js';
 
-/** Longest wait for an engine's first byte of an answer. */
-const answerTimeoutMs = 30_000;
-/** Longest wait for the answer to a control call. */
+/** Longest wait for the start of a completion's response, in milliseconds. */
+const responseTimeoutMs = 30_000;
+/** Longest wait for the response to a control request, in milliseconds. */
 const controlTimeoutMs = 2000;
 
-/** Streams a completion's chunks as they come, in whatever order.
+/**
+ * Yields a completion's chunks in the order of arrival, which may differ from their sequence.
  *
- * @throws {EngineRefusalError} When the engine says that it did not begin the request.
- * @throws {TransportError} When the connection fails; the engine may have run it.
+ * @throws {EngineRefusalError} When the engine reports that it did not start the request.
+ * @throws {TransportError} When the connection fails; the engine may have run the request.
  */
 export async function * streamCompletion(engineUrl: string, request: EngineCompletionRequest, signal: AbortSignal): AsyncGenerator<EngineChunk> {
 	const url = `${engineUrl}/v1/completions`;
 	const response = await requestStream({
-		method: 'POST', url, payload: request, signal, timeoutMs: answerTimeoutMs,
+		method: 'POST', url, payload: request, signal, timeoutMs: responseTimeoutMs,
 	});
 	if (response.statusCode !== 200) {
 		const body = await readJson<{error?: {code?: string}}>(response, controlTimeoutMs);
@@ -35,7 +36,7 @@
 	}
 
 	for await (const data of readEvents(response)) {
-		// The end marker may overtake late chunks: read until the connection ends.
+		// Late chunks may follow the end marker, so the stream is read to its end.
 		if (data !== '[DONE]') {
 			yield JSON.parse(data) as EngineChunk;
 		}
@@ -49,17 +50,17 @@
 	});
 }
 
-/** Cancels a request; tells whether the engine had begun it. */
+/** Cancels a request and returns whether the engine had started it. */
 export async function cancelRequest(engineUrl: string, requestId: string): Promise<CancelAnswer> {
 	return fetchJson<CancelAnswer>({method: 'POST', url: `${engineUrl}/v1/requests/${encodeURIComponent(requestId)}/cancel`, timeoutMs: controlTimeoutMs});
 }
 
-/** Exports a request's KV cache; its stream then ends. */
+/** Exports a request's KV cache, which ends the request's stream. */
 export async function exportKv(engineUrl: string, requestId: string): Promise<KvSnapshot> {
 	return fetchJson<KvSnapshot>({method: 'POST', url: `${engineUrl}/v1/requests/${encodeURIComponent(requestId)}/export`, timeoutMs: controlTimeoutMs});
 }
 
-/** Has an engine pull a request's KV cache from the engine at `source`. */
+/** Makes an engine fetch a request's KV cache from the engine at `source`. */
 export async function importKv(engineUrl: string, kvImport: KvImport): Promise<KvSnapshot> {
 	return fetchJson<KvSnapshot>({
 		method: 'POST', url: `${engineUrl}/v1/kv/import`, payload: kvImport, timeoutMs: controlTimeoutMs,
@@ -67,11 +68,11 @@
 }
 
 /**
- * Gives an engine an order.
+ * Sends a fenced order to an engine.
  *
- * @param mayStillSend Asked once the connection is open, right before the order is written.
- * @returns The status: 200, or 409 when the engine saw a higher fencing token.
- * @throws {TransportError} When `mayStillSend` said no, or the connection failed.
+ * @param mayStillSend Called once the connection is open, right before the order is written.
+ * @returns The status: 200, or 409 if the engine has seen a higher fencing token.
+ * @throws {TransportError} When `mayStillSend` returned false or the connection failed.
  */
 export async function sendOrder(engineUrl: string, order: EngineOrder, mayStillSend: () => boolean): Promise<number> {
 	const answer = await requestJson({
--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -1,9 +1,9 @@
 import {SesametallyError} from '../errors.js';
 
-/** A connection, request or server that failed below the protocol layer. */
+/** A connection, a request or a listening port failed below the protocol layer. */
 export class TransportError extends SesametallyError {}
 
-/** An HTTP answer with a status that the caller did not expect. */
+/** An HTTP response has a status that the calling code did not expect. */
 export class HttpStatusError extends TransportError {
 	constructor(
 		readonly url: string,
@@ -14,19 +14,19 @@
 	}
 }
 
-/** No connection could be opened: nothing of the request was sent. */
+/** No connection could be opened, so no part of the request was sent. */
 export class ConnectError extends TransportError {}
 
-/** A model engine said that it did not begin the request. */
+/** A model engine reported that it did not start the request. */
 export class EngineRefusalError extends TransportError {
 	constructor(url: string) {
-		super(`${url} did not take the request`);
+		super(`${url} refused the request without starting it`);
 	}
 }
 
-/** The sender lost its right to send before the request was written. */
-export class WithheldError extends TransportError {
+/** The sender was no longer allowed to send when the request was about to be written, such as after losing its lease. */
+export class SendNotAllowedError extends TransportError {
 	constructor(url: string) {
-		super(`request to ${url} withheld`);
+		super(`request to ${url} was not sent because the sender may no longer send it`);
 	}
 }
--- a/src/transport/event-splitter.ts
+++ b/src/transport/event-splitter.ts
@@ -1,13 +1,14 @@
 /**
- * Splits a server-sent event stream into whole events without changing a byte, so that a
- * stream that stops in the middle of an event can go on elsewhere with the next one.
+ * Splits a stream of server-sent events into complete events without changing a byte, so
+ * that a stream that ends within an event can be resumed at another backend server with
+ * the next complete event.
  */
 import {Buffer} from 'node:buffer';
 
-/** One event as it came, with the blank line that ends it. */
+/** One event as received, with the blank line that ends it. */
 export type RawEvent = {
 	bytes: Uint8Array;
-	/** Its id, where it has one. */
+	/** The event's id, if it has one. */
 	id: string | undefined;
 };
 
@@ -19,18 +20,18 @@
 	return /(?:^|\n)id: ?([^\r\n]*)/v.exec(text)?.[1];
 }
 
-/** The splitter of one stream. */
+/** Splits one stream. */
 export class EventSplitter {
-	private pending: Uint8Array = new Uint8Array();
+	private partialEvent: Uint8Array = new Uint8Array();
 
-	/** Whether part of an event is still waiting for its end. */
+	/** Whether the bytes so far end within an event. */
 	get hasPartial(): boolean {
-		return this.pending.length > 0;
+		return this.partialEvent.length > 0;
 	}
 
-	/** Takes the next bytes and returns the events that are whole now. */
+	/** Adds the next bytes and returns the events that they complete. */
 	push(chunk: Uint8Array): RawEvent[] {
-		const bytes = this.pending.length === 0 ? Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength) : Buffer.concat([this.pending, chunk]);
+		const bytes = this.partialEvent.length === 0 ? Buffer.from(chunk.buffer, chunk.byteOffset, chunk.byteLength) : Buffer.concat([this.partialEvent, chunk]);
 		const events: RawEvent[] = [];
 		let start = 0;
 		let lineStart = 0;
@@ -44,12 +45,12 @@
 			}
 		}
 
-		this.pending = bytes.subarray(start);
+		this.partialEvent = bytes.subarray(start);
 		return events;
 	}
 
-	/** Drops a partial event. */
+	/** Discards a partial event. */
 	reset(): void {
-		this.pending = new Uint8Array();
+		this.partialEvent = new Uint8Array();
 	}
 }
--- a/src/transport/front-server.ts
+++ b/src/transport/front-server.ts
@@ -1,8 +1,8 @@
 /**
- * The callers' HTTP/1.1 port. Requests are taken strictly, since a request that can be
- * read in two ways could carry another inside it, and their bodies are read whole before
- * anything is decided, so that a request can be sent again. `node:http` is used rather than
- * hapi: nothing is routed here, and the connection itself has to be governed.
+ * The client-facing HTTP/1.1 server. Parsing is strict, since a request with ambiguous
+ * framing could smuggle in another one. Bodies are buffered whole before a request is
+ * handled, so that it can be sent to a backend server more than once. The server uses
+ * `node:http` rather than hapi, since it routes nothing and needs control of connections.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -13,72 +13,76 @@
 import {type Listen} from '../protocol/settings.js';
 import {TransportError} from './errors.js';
 
-/** Header bytes that node parses at the most; the configuration's limit is checked beyond it. */
-const parserHeaderBytes = 65_536;
-/** How often node looks for connections over their time, in milliseconds. */
-const timeoutCheckMs = 1000;
-/** Kept longer than clients reuse idle connections, in milliseconds. */
-const idleMarginMs = 1000;
-/** Bytes of request bodies held at once, over all requests: a seventh of the smallest daemon's memory. */
-const mostBufferedBytes = 48 * 1024 * 1024;
-/** When a client that met a stopping daemon should return, in seconds: at once, to another. */
-const stoppingReturn = '0.05';
+/** Largest request head that the parser accepts, in bytes; the configured limit is checked after parsing. */
+const maxParsedHeaderBytes = 65_536;
+/** Interval at which Node.js checks connections for exceeded timeouts, in milliseconds. */
+const timeoutCheckIntervalMs = 1000;
+/** Time by which the server keeps an idle connection beyond the configured timeout, in milliseconds, so that clients stop reusing it before the server closes it. */
+const keepAliveMarginMs = 1000;
+/** Most bytes of request bodies buffered at once over all requests: a seventh of the memory of the smallest daemon. */
+const maxBufferedBytes = 48 * 1024 * 1024;
+/** Retry-After of a stopping daemon, in seconds; short, since the client's next connection reaches another daemon. */
+const stoppingRetryAfterSeconds = '0.05';
 const defaultLimits: ClientLimits = {
 	headerBytes: 16_384, bodyBytes: 4_194_304, headerTimeoutMs: 3000, idleTimeoutMs: 15_000,
 };
 
-/** A request that was read whole. */
+/** A request with its whole body. */
 export type FrontRequest = {
 	method: string;
 	path: string;
 	rawHeaders: string[];
 	body: Uint8Array;
 	response: ServerResponse;
-	/** Aborts when the client closes its connection before its answer was written. */
+	/** Aborts when the client closes its connection before the response is written. */
 	signal: AbortSignal;
 };
 
-/** What is done with each request. */
+/** Handles one request and writes its response. */
 export type FrontHandler = (request: FrontRequest) => Promise<void>;
 
-/** Why a request was turned away before it was looked at, with its status. */
-class BadRequestError extends TransportError {
+/** A request was rejected before it reached the handler; the message becomes the reason in the response. */
+class RejectedRequestError extends TransportError {
 	constructor(readonly statusCode: number, message: string) {
 		super(message);
 	}
 }
 
-/** Checks framing and header size. */
-function checkHead(request: IncomingMessage, limits: ClientLimits): void {
+/**
+ * Checks a request's framing, header size and stated body length.
+ *
+ * @throws {RejectedRequestError} When one of them is not acceptable.
+ */
+function validateHead(request: IncomingMessage, limits: ClientLimits): void {
 	const {rawHeaders, headers} = request;
-	let bytes = 0;
-	let lengths = 0;
-	let encodings = 0;
+	let headerBytes = 0;
+	let lengthHeaders = 0;
+	let encodingHeaders = 0;
 	for (let index = 0; index < rawHeaders.length; index += 2) {
-		bytes += rawHeaders[index].length + rawHeaders[index + 1].length + 4;
+		headerBytes += rawHeaders[index].length + rawHeaders[index + 1].length + 4;
 		const name = rawHeaders[index].toLowerCase();
-		lengths += name === 'content-length' ? 1 : 0;
-		encodings += name === 'transfer-encoding' ? 1 : 0;
+		lengthHeaders += name === 'content-length' ? 1 : 0;
+		encodingHeaders += name === 'transfer-encoding' ? 1 : 0;
 	}
 
-	if (lengths + encodings > 1) {
-		throw new BadRequestError(400, 'more than one length');
+	if (lengthHeaders + encodingHeaders > 1) {
+		throw new RejectedRequestError(400, 'more than one length');
 	}
 
-	if (encodings === 1 && headers['transfer-encoding']!.toLowerCase() !== 'chunked') {
-		throw new BadRequestError(400, 'unknown transfer encoding');
+	if (encodingHeaders === 1 && headers['transfer-encoding']!.toLowerCase() !== 'chunked') {
+		throw new RejectedRequestError(400, 'unknown transfer encoding');
 	}
 
-	if (bytes > limits.headerBytes) {
-		throw new BadRequestError(431, 'headers too long');
+	if (headerBytes > limits.headerBytes) {
+		throw new RejectedRequestError(431, 'headers too long');
 	}
 
 	if (Number(headers['content-length'] ?? 0) > limits.bodyBytes) {
-		throw new BadRequestError(413, 'body too long');
+		throw new RejectedRequestError(413, 'body too long');
 	}
 }
 
-/** Writes a whole answer of the daemon's own. */
+/** Writes an error response of the daemon itself, or closes the connection if a response has begun. */
 export function writeOwnAnswer(response: ServerResponse, status: number, reason: string, headers: Record<string, string> = {}): void {
 	if (response.headersSent || response.destroyed) {
 		response.destroy();
@@ -90,10 +94,10 @@
 	response.end(body);
 }
 
-/** The callers' port. */
+/** The client-facing HTTP server of a serving daemon. */
 export class FrontServer {
-	/** Open connections, and the requests each waits for. */
-	private readonly connections = new Map<Socket, number>();
+	/** The open connections with their numbers of unfinished requests. */
+	private readonly openRequestsBySocket = new Map<Socket, number>();
 	private readonly server: Server;
 	private limits = defaultLimits;
 	private bufferedBytes = 0;
@@ -102,14 +106,14 @@
 
 	constructor(private readonly handler: FrontHandler) {
 		this.server = createServer({
-			maxHeaderSize: parserHeaderBytes, connectionsCheckingInterval: timeoutCheckMs, noDelay: true, requireHostHeader: false,
+			maxHeaderSize: maxParsedHeaderBytes, connectionsCheckingInterval: timeoutCheckIntervalMs, noDelay: true, requireHostHeader: false,
 		}, (request, response) => {
-			void this.take(request, response);
+			void this.handleRequest(request, response);
 		});
 		this.server.on('connection', socket => {
-			this.connections.set(socket, 0);
+			this.openRequestsBySocket.set(socket, 0);
 			socket.once('close', () => {
-				this.connections.delete(socket);
+				this.openRequestsBySocket.delete(socket);
 			});
 		});
 		this.server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
@@ -124,28 +128,32 @@
 	}
 
 	get openConnections(): number {
-		return this.connections.size;
+		return this.openRequestsBySocket.size;
 	}
 
-	/** Requests that were read and not yet answered. */
+	/** Number of requests whose response has not ended yet. */
 	get openRequests(): number {
-		let sum = 0;
-		for (const count of this.connections.values()) {
-			sum += count;
+		let total = 0;
+		for (const count of this.openRequestsBySocket.values()) {
+			total += count;
 		}
 
-		return sum;
+		return total;
 	}
 
-	/** Takes new limits into force, also for connections that are open. */
+	/** Applies new limits, also to open connections. */
 	setLimits(limits: ClientLimits): void {
 		this.limits = limits;
 		this.server.headersTimeout = limits.headerTimeoutMs;
 		this.server.requestTimeout = limits.idleTimeoutMs;
-		this.server.keepAliveTimeout = limits.idleTimeoutMs + idleMarginMs;
+		this.server.keepAliveTimeout = limits.idleTimeoutMs + keepAliveMarginMs;
 	}
 
-	/** @throws {TransportError} When the address cannot be bound. */
+	/**
+	 * Starts to listen.
+	 *
+	 * @throws {TransportError} When the address cannot be bound.
+	 */
 	async listen(address: Listen): Promise<void> {
 		return new Promise((resolve, reject) => {
 			this.server.once('error', error => {
@@ -155,42 +163,42 @@
 		});
 	}
 
-	/** Every answer from now on closes its connection. */
+	/** Makes every later response close its connection. */
 	beginStop(): void {
 		this.isStopping = true;
 	}
 
-	/** Takes no new connections and requests, and closes those that wait for nothing. */
+	/** Stops accepting connections and requests, and closes connections without unfinished requests. */
 	close(): void {
 		this.isClosed = true;
 		this.server.close();
-		for (const [socket, requests] of this.connections) {
+		for (const [socket, requests] of this.openRequestsBySocket) {
 			if (requests === 0) {
 				socket.destroySoon();
 			}
 		}
 	}
 
-	/** Closes every connection. */
+	/** Closes all connections at once. */
 	destroy(): void {
-		for (const socket of this.connections.keys()) {
+		for (const socket of this.openRequestsBySocket.keys()) {
 			socket.destroy();
 		}
 	}
 
-	private async take(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const {socket} = request;
-		const gone = new AbortController();
-		this.connections.set(socket, (this.connections.get(socket) ?? 0) + 1);
+		const clientDisconnect = new AbortController();
+		this.openRequestsBySocket.set(socket, (this.openRequestsBySocket.get(socket) ?? 0) + 1);
 		response.once('close', () => {
-			if (this.connections.has(socket)) {
-				this.connections.set(socket, this.connections.get(socket)! - 1);
+			if (this.openRequestsBySocket.has(socket)) {
+				this.openRequestsBySocket.set(socket, this.openRequestsBySocket.get(socket)! - 1);
 			}
 
 			if (!response.writableFinished) {
-				gone.abort();
+				clientDisconnect.abort();
 			} else if (this.isClosed) {
-				// An answer that began before the stop still promised to keep the connection.
+				// The headers of a response that began before the stop promise a keep-alive connection.
 				socket.destroySoon();
 			}
 		});
@@ -198,30 +206,30 @@
 			response.shouldKeepAlive = false;
 		}
 
-		let held = 0;
+		let requestBufferedBytes = 0;
 		try {
 			if (this.isClosed) {
-				writeOwnAnswer(response, 503, 'stopping', {'Retry-After': stoppingReturn});
+				writeOwnAnswer(response, 503, 'stopping', {'Retry-After': stoppingRetryAfterSeconds});
 				return;
 			}
 
-			checkHead(request, this.limits);
+			validateHead(request, this.limits);
 			const body = await this.readBody(request);
-			held = body.length;
-			this.bufferedBytes += held;
+			requestBufferedBytes = body.length;
+			this.bufferedBytes += requestBufferedBytes;
 			await this.handler({
-				method: request.method ?? 'GET', path: request.url ?? '/', rawHeaders: request.rawHeaders, body, response, signal: gone.signal,
+				method: request.method ?? 'GET', path: request.url ?? '/', rawHeaders: request.rawHeaders, body, response, signal: clientDisconnect.signal,
 			});
 		} catch (error) {
 			response.shouldKeepAlive = false;
-			if (error instanceof BadRequestError) {
+			if (error instanceof RejectedRequestError) {
 				writeOwnAnswer(response, error.statusCode, error.message);
 			} else {
-				// The request was not read whole, or its handler failed: nothing can be promised.
+				// The body was not read completely or the handler failed, so the outcome is unknown and no response is sent.
 				response.destroy(error as Error);
 			}
 		} finally {
-			this.bufferedBytes -= held;
+			this.bufferedBytes -= requestBufferedBytes;
 		}
 	}
 
@@ -232,11 +240,11 @@
 			chunks.push(chunk);
 			length += chunk.length;
 			if (length > this.limits.bodyBytes) {
-				throw new BadRequestError(413, 'body too long');
+				throw new RejectedRequestError(413, 'body too long');
 			}
 
-			if (this.bufferedBytes + length > mostBufferedBytes) {
-				throw new BadRequestError(503, 'too many bodies at once');
+			if (this.bufferedBytes + length > maxBufferedBytes) {
+				throw new RejectedRequestError(503, 'too many bodies at once');
 			}
 		}
 
--- a/src/transport/http-client.ts
+++ b/src/transport/http-client.ts
@@ -1,11 +1,11 @@
 /**
- * Requests to other processes and to the platform through `@hapi/wreck`.
+ * HTTP client functions for JSON and streamed responses, based on `@hapi/wreck`.
  */
 import {PassThrough} from 'node:stream';
 import type {ClientRequest, IncomingMessage} from 'node:http';
 import Wreck from '@hapi/wreck';
 import {
-	ConnectError, HttpStatusError, TransportError, WithheldError,
+	ConnectError, HttpStatusError, TransportError, SendNotAllowedError,
 } from './errors.js';
 
 /** Options of one request. */
@@ -14,15 +14,15 @@
 	url: string;
 	payload?: unknown;
 	headers?: Record<string, string>;
-	/** Time without an answer after which the request fails, in milliseconds. */
+	/** Time without a response after which the request fails, in milliseconds. */
 	timeoutMs?: number;
-	/** Aborting it destroys the connection. */
+	/** Destroys the connection when it aborts. */
 	signal?: AbortSignal;
-	/** Asked once the connection is open, right before the request is written; false withholds it. */
+	/** Called once the connection is open, right before the request is written; if it returns false, the request fails without being sent. */
 	mayStillSend?: () => boolean;
 };
 
-/** A JSON answer with its status. */
+/** A JSON response with its status. */
 export type JsonResponse<T> = {
 	statusCode: number;
 	headers: Record<string, string | string[] | undefined>;
@@ -31,27 +31,27 @@
 
 const defaultTimeoutMs = 10_000;
 
-/** Codes of connection failures before any byte of the request was sent. */
-const neverSentCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']);
+/** Error codes of connections that failed before any byte of the request was sent. */
+const connectFailureCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']);
 
-function wrapRequestError(what: string, error: unknown): TransportError {
+function wrapRequestError(requestName: string, error: unknown): TransportError {
 	if (error instanceof TransportError) {
 		return error;
 	}
 
 	const code = (error as {code?: string; cause?: {code?: string}}).code ?? (error as {cause?: {code?: string}}).cause?.code;
-	return code !== undefined && neverSentCodes.has(code)
-		? new ConnectError(`${what} could not connect`, {cause: error})
-		: new TransportError(`${what} failed`, {cause: error});
+	return code !== undefined && connectFailureCodes.has(code)
+		? new ConnectError(`${requestName} could not connect`, {cause: error})
+		: new TransportError(`${requestName} failed`, {cause: error});
 }
 
-/** Holds a request's bytes back until its connection is open and `mayStillSend` agrees. */
-function writeWhenAllowed(request: ClientRequest, payload: string, url: string, mayStillSend: () => boolean): void {
+/** Writes a request's body once its connection is open and `mayStillSend` returns true; destroys the request otherwise. */
+function writeWhenAllowed(request: ClientRequest, body: string, url: string, mayStillSend: () => boolean): void {
 	const write = () => {
 		if (mayStillSend()) {
-			request.end(payload);
+			request.end(body);
 		} else {
-			request.destroy(new WithheldError(url));
+			request.destroy(new SendNotAllowedError(url));
 		}
 	};
 
@@ -65,28 +65,28 @@
 }
 
 /**
- * Sends a request and returns the answer as a stream, with its status.
+ * Sends a request and returns the response as a stream, with its status.
  *
- * @throws {ConnectError} When no connection could be opened: nothing was sent.
+ * @throws {ConnectError} When no connection could be opened; nothing was sent.
  * @throws {TransportError} When the connection fails, times out or is aborted.
  */
 export async function requestStream(options: JsonRequest): Promise<IncomingMessage> {
 	const {method, url, payload, headers = {}, timeoutMs = defaultTimeoutMs, signal, mayStillSend} = options;
-	const what = `${method} ${url}`;
+	const requestName = `${method} ${url}`;
 	signal?.throwIfAborted();
-	const text = payload === undefined ? undefined : JSON.stringify(payload);
+	const body = payload === undefined ? undefined : JSON.stringify(payload);
 	const pending = Wreck.request(method, url, {
-		// A stream as payload leaves the writing to us.
-		payload: mayStillSend === undefined ? text : new PassThrough(),
-		headers: text === undefined ? headers : {'content-type': 'application/json', ...headers},
+		// With a stream as payload, Wreck leaves the writing to `writeWhenAllowed`.
+		payload: mayStillSend === undefined ? body : new PassThrough(),
+		headers: body === undefined ? headers : {'content-type': 'application/json', ...headers},
 		timeout: timeoutMs,
 	});
 	if (mayStillSend !== undefined) {
-		writeWhenAllowed(pending.req, text ?? '', url, mayStillSend);
+		writeWhenAllowed(pending.req, body ?? '', url, mayStillSend);
 	}
 
 	const abort = () => {
-		pending.req.destroy(new TransportError(`${what} aborted`));
+		pending.req.destroy(new TransportError(`${requestName} aborted`));
 	};
 
 	signal?.addEventListener('abort', abort, {once: true});
@@ -98,27 +98,27 @@
 		return response;
 	} catch (error) {
 		signal?.removeEventListener('abort', abort);
-		throw wrapRequestError(what, error);
+		throw wrapRequestError(requestName, error);
 	}
 }
 
 /**
- * Reads the JSON body of an answer.
+ * Reads the JSON body of a response.
  *
- * @throws {TransportError} When it cannot be read in time.
+ * @throws {TransportError} When the body is not valid JSON or does not arrive in time.
  */
 export async function readJson<T>(response: IncomingMessage, timeoutMs: number): Promise<T> {
 	try {
 		return await Wreck.read(response, {json: 'force', timeout: timeoutMs});
 	} catch (error) {
-		throw new TransportError('answer unreadable', {cause: error});
+		throw new TransportError('cannot read the JSON body of the response', {cause: error});
 	}
 }
 
 /**
- * Sends a request and reads a JSON answer of any status.
+ * Sends a request and reads a JSON response of any status.
  *
- * @throws {ConnectError} When no connection could be opened: nothing was sent.
+ * @throws {ConnectError} When no connection could be opened; nothing was sent.
  * @throws {TransportError} When the connection fails, times out or is aborted.
  */
 export async function requestJson<T>(options: JsonRequest): Promise<JsonResponse<T>> {
@@ -128,7 +128,7 @@
 }
 
 /**
- * Sends a request and returns the JSON body of a 2xx answer.
+ * Sends a request and returns the JSON body of a 2xx response.
  *
  * @throws {HttpStatusError} On any other status.
  * @throws {TransportError} When the connection fails, times out or is aborted.
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -1,7 +1,7 @@
 /**
- * The hapi servers every process runs: a factory, and the two routes each process has on
- * a port that callers do not reach, `/metrics` (prom-client) and `/debug/state` (a JSON
- * dump of its state).
+ * Helpers for hapi servers: factories, header access, and the two diagnostics routes that
+ * each process serves on an internal port, `/metrics` (prom-client) and `/debug/state`
+ * (a JSON dump of its state).
  */
 import {type Server} from 'node:http';
 import process from 'node:process';
@@ -10,13 +10,13 @@
 import {type Listen} from '../protocol/settings.js';
 import {TransportError} from './errors.js';
 
-/** Largest request body taken. */
+/** Largest accepted request body, in bytes. */
 const maxPayloadBytes = 8 * 1024 * 1024;
 
-/** Produces the JSON-serialisable state of a process for `/debug/state`. */
-export type StateDump = () => unknown;
+/** A function that returns the JSON-serialisable state of a process for `/debug/state`. */
+export type StateReader = () => unknown;
 
-/** Reads one request header as a string; a repeated header gives its first value. */
+/** Reads one request header as a string; of a repeated header, it returns the first value. */
 export function headerValue(request: Hapi.Request, name: string): string | undefined {
 	const value: unknown = request.headers[name];
 	if (Array.isArray(value)) {
@@ -26,19 +26,19 @@
 	return typeof value === 'string' ? value : undefined;
 }
 
-/** Reads a bearer token from the authorization header. */
+/** Reads the bearer token from the authorization header; empty if there is none. */
 export function bearerToken(request: Hapi.Request): string {
 	return (headerValue(request, 'authorization') ?? '').replace(/^Bearer /v, '');
 }
 
-/** Reads CPU and memory use of this process, for dumps and the capacity bench. */
+/** Reads the CPU and memory use of this process, for state dumps and the capacity benchmark. */
 export function readProcessUsage(): {cpuUs: number; rssBytes: number; heapUsedBytes: number} {
 	const cpu = process.cpuUsage();
 	const memory = process.memoryUsage();
 	return {cpuUs: cpu.user + cpu.system, rssBytes: memory.rss, heapUsedBytes: memory.heapUsed};
 }
 
-/** Creates a hapi server on the given address; it is not started. */
+/** Creates a hapi server for the given address without starting it. */
 export function createServer(listen: Listen): Hapi.Server {
 	return Hapi.server({
 		host: listen.host,
@@ -47,13 +47,13 @@
 	});
 }
 
-/** Creates a hapi server that answers what comes to a port that is open already. */
-export function createServerAt(listener: Server): Hapi.Server {
+/** Creates a hapi server that handles the requests of a port that is already listening. */
+export function createServerFromListener(listener: Server): Hapi.Server {
 	return Hapi.server({listener, autoListen: false});
 }
 
-/** Adds `/metrics` and `/debug/state` to a server that callers do not reach. */
-export function addObservationRoutes(server: Hapi.Server, registry: Registry, dump: StateDump): void {
+/** Adds `/metrics` and `/debug/state` to a server on an internal port. */
+export function addDiagnosticsRoutes(server: Hapi.Server, registry: Registry, readState: StateReader): void {
 	server.route({
 		method: 'GET',
 		path: '/metrics',
@@ -64,19 +64,19 @@
 	server.route({
 		method: 'GET',
 		path: '/debug/state',
-		handler: () => ({process: readProcessUsage(), state: dump()}),
+		handler: () => ({process: readProcessUsage(), state: readState()}),
 	});
 }
 
-/** Creates the server of a stand-in, with `/metrics` and `/debug/state`. */
-export function createObservedServer(listen: Listen, registry: Registry, dump: StateDump): Hapi.Server {
+/** Creates the server of a stand-in with the routes `/metrics` and `/debug/state`. */
+export function createObservedServer(listen: Listen, registry: Registry, readState: StateReader): Hapi.Server {
 	const server = createServer(listen);
-	addObservationRoutes(server, registry, dump);
+	addDiagnosticsRoutes(server, registry, readState);
 	return server;
 }
 
 /**
- * Starts a server, wrapping a bind failure.
+ * Starts a server.
  *
  * @throws {TransportError} When the address cannot be bound.
  */
--- a/src/transport/peer-link.ts
+++ b/src/transport/peer-link.ts
@@ -1,7 +1,7 @@
 /**
- * Connections between gateways over `ws`: one task per peer dials it and sends
- * heartbeats; the peer server accepts inbound links on the admin port at `/peer`
- * and hands decoded messages on. Bytes are counted both ways for the capacity page.
+ * WebSocket connections between gateways, based on `ws`. A gateway opens one connection to
+ * each peer and sends its heartbeats there, and accepts inbound connections at `/peer` on
+ * the admin port. Bytes and messages are counted in both directions.
  */
 import type {Server as HttpServer} from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -12,14 +12,14 @@
 
 const log = createLogger('peer');
 
-/** Pause before dialling a peer again after its link dropped. */
-export const redialMs = 500;
+/** Delay before a reconnection attempt to a peer, in milliseconds. */
+export const reconnectDelayMs = 500;
 
-/** Bytes of peer traffic, counted for metrics and the capacity bench. */
+/** Totals of peer traffic, for the state dump and the capacity benchmark. */
 export type PeerTraffic = {bytesSent: number; bytesReceived: number; messagesSent: number; messagesReceived: number};
 
-/** Accepts inbound peer links on an HTTP server's upgrade path `/peer`. */
-export function acceptPeers(server: HttpServer, traffic: PeerTraffic, onMessage: (message: PeerMessage) => void): WebSocketServer {
+/** Accepts inbound peer connections on an HTTP server's upgrade path `/peer` and passes decoded messages to `onMessage`. */
+export function acceptPeerLinks(server: HttpServer, traffic: PeerTraffic, onMessage: (message: PeerMessage) => void): WebSocketServer {
 	const sockets = new WebSocketServer({noServer: true});
 	server.on('upgrade', (request, socket, head) => {
 		if (request.url !== '/peer') {
@@ -41,26 +41,26 @@
 	return sockets;
 }
 
-/** What one peer link sends, how often, and where it counts bytes. */
-export type PeerLink = {
+/** The options of the connection to one peer. */
+export type PeerLinkOptions = {
 	peer: Peer;
 	intervalMs: number;
-	/** Produces the next message to send, such as a fresh heartbeat. */
-	next: () => PeerMessage;
+	/** Creates the next message to send, such as a heartbeat. */
+	createMessage: () => PeerMessage;
 	traffic: PeerTraffic;
 };
 
 /**
- * Keeps a link to one peer and sends what `next` produces every `intervalMs`,
- * redialling after drops, until the signal aborts.
+ * Keeps a connection to one peer and sends a new message every `intervalMs` milliseconds,
+ * reconnecting after failures, until the signal aborts.
  */
-export async function linkPeer(link: PeerLink, signal: AbortSignal): Promise<void> {
+export async function runPeerLink(link: PeerLinkOptions, signal: AbortSignal): Promise<void> {
 	const {peer} = link;
-	let connected = false;
+	let wasConnected = false;
 	while (!signal.aborted) {
 		const ws = new WebSocket(peer.url);
 		// eslint-disable-next-line no-await-in-loop
-		const opened = await new Promise<boolean>(resolve => {
+		const isOpen = await new Promise<boolean>(resolve => {
 			ws.once('open', () => {
 				resolve(true);
 			});
@@ -68,27 +68,27 @@
 				resolve(false);
 			});
 		});
-		if (opened) {
-			if (!connected) {
-				log.info('link up.', {peer: peer.id});
+		if (isOpen) {
+			if (!wasConnected) {
+				log.info('connected.', {peer: peer.id});
 			}
 
-			connected = true;
+			wasConnected = true;
 			// eslint-disable-next-line no-await-in-loop
 			await sendUntilClosed(ws, link, signal);
-		} else if (connected) {
-			log.warn('link down.', {peer: peer.id});
-			connected = false;
+		} else if (wasConnected) {
+			log.warn('disconnected.', {peer: peer.id});
+			wasConnected = false;
 		}
 
 		ws.terminate();
 		// eslint-disable-next-line no-await-in-loop
-		await delay(redialMs, undefined, {signal}).catch(() => undefined);
+		await delay(reconnectDelayMs, undefined, {signal}).catch(() => undefined);
 	}
 }
 
-async function sendUntilClosed(ws: WebSocket, link: PeerLink, signal: AbortSignal): Promise<void> {
-	const {intervalMs, next, traffic} = link;
+async function sendUntilClosed(ws: WebSocket, link: PeerLinkOptions, signal: AbortSignal): Promise<void> {
+	const {intervalMs, createMessage, traffic} = link;
 	const closed = new AbortController();
 	ws.once('close', () => {
 		closed.abort();
@@ -98,7 +98,7 @@
 	});
 	const stop = AbortSignal.any([closed.signal, signal]);
 	while (!stop.aborted) {
-		const data = encodePeerMessage(next());
+		const data = encodePeerMessage(createMessage());
 		ws.send(data);
 		traffic.bytesSent += data.length;
 		traffic.messagesSent++;
--- a/src/transport/port-probe.ts
+++ b/src/transport/port-probe.ts
@@ -1,26 +1,28 @@
-/** Asks whether anything listens at an address, without a request. */
+/** Checks whether a process listens at an address, without sending a request. */
 import {connect} from 'node:net';
 
 /**
- * Whether an address refuses connections: nothing listens there. Silence and a connection
- * that is reset after it opened are no refusal.
+ * Returns whether an address refuses connections, so that no process listens there. A
+ * timeout and a connection that is reset after it opened don't count as a refusal.
+ *
+ * @param timeoutMs Longest wait for the connection, in milliseconds.
  */
 export async function refusesConnections(address: {host: string; port: number}, timeoutMs: number): Promise<boolean> {
 	return new Promise(resolve => {
 		const socket = connect(address);
-		const end = (isRefused: boolean) => {
+		const finish = (isRefused: boolean) => {
 			socket.destroy();
 			resolve(isRefused);
 		};
 
 		socket.setTimeout(timeoutMs, () => {
-			end(false);
+			finish(false);
 		});
 		socket.once('connect', () => {
-			end(false);
+			finish(false);
 		});
 		socket.once('error', (error: NodeJS.ErrnoException) => {
-			end(error.code === 'ECONNREFUSED');
+			finish(error.code === 'ECONNREFUSED');
 		});
 	});
 }
--- a/src/transport/process-registry.ts
+++ b/src/transport/process-registry.ts
@@ -1,12 +1,12 @@
-/** The metrics registry that every process starts from. Apart from the HTTP servers, which load later where a start must be short. */
+/** The metrics registry of a process. It is separate from the HTTP servers so that a serving daemon can load those later, which keeps its start short. */
 import {collectDefaultMetrics, Registry} from 'prom-client';
 
-/** How often the event loop's delay is looked at, in milliseconds: each look wakes an idle process up. */
-const loopDelayMs = 250;
+/** Interval at which the event loop delay is sampled, in milliseconds; each sample wakes up an idle process. */
+const eventLoopSampleIntervalMs = 250;
 
-/** Creates a metrics registry with Node's default process metrics. */
+/** Creates a metrics registry with the default process metrics of Node.js. */
 export function createRegistry(): Registry {
 	const registry = new Registry();
-	collectDefaultMetrics({register: registry, eventLoopMonitoringPrecision: loopDelayMs});
+	collectDefaultMetrics({register: registry, eventLoopMonitoringPrecision: eventLoopSampleIntervalMs});
 	return registry;
 }
--- a/src/transport/raw-client.ts
+++ b/src/transport/raw-client.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to one HTTP endpoint with opaque bodies, through `@hapi/wreck` and kept
- * connections. A call that ends without an answer closes its connection and the idle ones,
- * so that none that went silent is used again.
+ * HTTP client of one endpoint with opaque bodies, based on `@hapi/wreck` with keep-alive
+ * connections. A request that ends without a response closes its connection and all idle
+ * connections, so that no unresponsive connection is reused.
  */
 import {Buffer} from 'node:buffer';
 import {Agent} from 'node:http';
@@ -9,47 +9,47 @@
 import Wreck from '@hapi/wreck';
 import {TransportError} from './errors.js';
 
-/** One call. */
+/** One request. */
 export type RawCall = {
 	method: 'GET' | 'POST' | 'DELETE';
-	/** Path and query. */
+	/** Path with the query string. */
 	path: string;
 	headers?: Record<string, string>;
 	body?: Uint8Array;
-	/** Time without a byte of the answer after which the call fails, in milliseconds. */
+	/** Time without any byte of the response after which the request fails, in milliseconds. */
 	timeoutMs: number;
 	signal?: AbortSignal;
 };
 
-/** An answer of any status. */
+/** A response of any status. */
 export type RawAnswer = {statusCode: number; body: Uint8Array};
 
-/** Kept idle connections of one client. */
-const idleConnections = 4;
-/** An idle connection is closed after this, in milliseconds. */
-const idleMs = 10_000;
+/** Most idle connections that one client keeps open. */
+const maxIdleConnections = 4;
+/** Time after which an idle connection is closed, in milliseconds. */
+const idleTimeoutMs = 10_000;
 
-/** A client of one endpoint. */
+/** A client of one HTTP endpoint. */
 export class RawClient {
 	private readonly agent = new Agent({
-		keepAlive: true, maxFreeSockets: idleConnections, timeout: idleMs, scheduling: 'lifo', noDelay: true,
+		keepAlive: true, maxFreeSockets: maxIdleConnections, timeout: idleTimeoutMs, scheduling: 'lifo', noDelay: true,
 	});
 
-	/** @param baseUrl Such as `http://10.0.0.1:8080`. */
+	/** @param baseUrl URL without a path, such as `http://10.0.0.1:8080`. */
 	constructor(private readonly baseUrl: string) {}
 
 	/**
-	 * Sends a call and reads the whole answer.
+	 * Sends a request and reads the whole response.
 	 *
-	 * @throws {TransportError} When there is no whole answer; the call may have been carried out.
+	 * @throws {TransportError} When no complete response arrives; the request may have been executed.
 	 */
 	async call(call: RawCall): Promise<RawAnswer> {
 		const {method, path, headers, body, timeoutMs, signal} = call;
-		const what = `${method} ${path.split('?')[0]}`;
+		const requestName = `${method} ${path.split('?')[0]}`;
 		const startedAtMs = performance.now();
 		const pending = Wreck.request(method, this.baseUrl + path, {headers, payload: body && Buffer.from(body), agent: this.agent});
 		const abort = () => {
-			pending.req.destroy(new TransportError(`${what} aborted`));
+			pending.req.destroy(new TransportError(`${requestName} aborted`));
 		};
 
 		const timer = setTimeout(abort, timeoutMs);
@@ -60,24 +60,24 @@
 
 		try {
 			const response = await pending;
-			// An answer that keeps coming is not given up, however large it is.
+			// A response of any size may take longer than the timeout as long as bytes keep arriving.
 			response.on('data', () => {
 				timer.refresh();
 			});
-			const answer = await Wreck.read(response, {});
-			return {statusCode: response.statusCode ?? 0, body: answer};
+			const responseBody = await Wreck.read(response, {});
+			return {statusCode: response.statusCode ?? 0, body: responseBody};
 		} catch (error) {
-			this.dropIdle();
+			this.closeIdleConnections();
 			const connection = pending.req.reusedSocket ? 'a kept connection' : 'a new connection';
-			throw new TransportError(`${what} got no answer on ${connection} in ${Math.round(performance.now() - startedAtMs)} ms`, {cause: error});
+			throw new TransportError(`${requestName} got no answer on ${connection} in ${Math.round(performance.now() - startedAtMs)} ms`, {cause: error});
 		} finally {
 			clearTimeout(timer);
 			signal?.removeEventListener('abort', abort);
 		}
 	}
 
-	/** Closes the idle connections: what ended one without an answer may have left the others silent, and each would cost a whole timeout. */
-	private dropIdle(): void {
+	/** Closes the idle connections: the cause of a missing response may have left the others unresponsive too, and each would cost a full timeout. */
+	private closeIdleConnections(): void {
 		for (const socket of Object.values(this.agent.freeSockets).flatMap(sockets => sockets ?? [])) {
 			socket.destroy();
 		}
--- a/src/transport/readiness-server.ts
+++ b/src/transport/readiness-server.ts
@@ -1,18 +1,18 @@
 /**
- * The port at which the balancer asks whether new connections should come. It is opened
- * before everything that takes long to load, so that a restarted daemon is back in rotation
- * as soon as it can serve.
+ * The readiness endpoint that the load balancer polls to decide whether to send new
+ * connections. It is opened before anything that loads slowly, so that a restarted daemon
+ * is back in rotation as soon as it can serve.
  */
 import {createServer, type Server} from 'node:http';
 import {type Listen} from '../protocol/settings.js';
 import {TransportError} from './errors.js';
 
 /**
- * Opens the readiness port.
+ * Starts the readiness endpoint.
  *
  * @throws {TransportError} When the address cannot be bound.
  */
-export async function openReadiness(address: Listen, path: string, isReady: () => boolean): Promise<Server> {
+export async function openReadinessServer(address: Listen, path: string, isReady: () => boolean): Promise<Server> {
 	const server = createServer((request, response) => {
 		if (request.url !== path) {
 			response.writeHead(404).end();
--- a/src/transport/service-routes.ts
+++ b/src/transport/service-routes.ts
@@ -1,16 +1,17 @@
 /**
- * The route to plain services: `POST /v1/services/{name}/{call}`. A call marked
- * `x-sesametally-idempotent: false` runs at most once and needs an `idempotency-key`.
+ * The route for calls to services other than model engines: `POST /v1/services/{name}/{call}`.
+ * A call with the header `x-sesametally-idempotent: false` runs at most once and requires
+ * an `idempotency-key` header.
  */
 import {randomUUID} from 'node:crypto';
 import type Hapi from '@hapi/hapi';
 import {Outcome} from '../protocol/openai.js';
 import {NoBackendError, OutcomeUnknownError} from '../coordination/errors.js';
 import {KeyTakenError, NotRecordedError, type ServiceCall} from '../coordination/service-calls.js';
-import {admitCaller, refuseOverLimit} from './caller-admission.js';
+import {admitRequest, refuseOverLimit} from './caller-admission.js';
 import {
-	answerFailure, refuse, refuseOverloaded, refuseUnknownKey,
-} from './caller-answers.js';
+	respondWithFailure, refuseRequest, refuseOverloaded, refuseUnknownKey,
+} from './caller-responses.js';
 import {type AuthenticatedContext} from './caller-context.js';
 import {headerValue} from './http-server.js';
 
@@ -20,18 +21,18 @@
 		method: 'POST',
 		path: '/v1/services/{name}/{call}',
 		async handler(request, h) {
-			const account = context.accountOf(request);
+			const account = context.findAccount(request);
 			if (account === undefined) {
 				return refuseUnknownKey(h);
 			}
 
 			const isIdempotent = headerValue(request, 'x-sesametally-idempotent') !== 'false';
-			const givenKey = headerValue(request, 'idempotency-key');
-			if (!isIdempotent && givenKey === undefined) {
-				return refuse(h, {status: 400, message: 'A non-idempotent call needs an idempotency-key header.', code: 'idempotency_key_missing'});
+			const clientKey = headerValue(request, 'idempotency-key');
+			if (!isIdempotent && clientKey === undefined) {
+				return refuseRequest(h, {status: 400, message: 'A non-idempotent call needs an idempotency-key header.', code: 'idempotency_key_missing'});
 			}
 
-			const admission = admitCaller(context, account, Date.now());
+			const admission = admitRequest(context, account, Date.now());
 			if (!admission.admitted) {
 				return refuseOverLimit(h, context, account, admission);
 			}
@@ -40,7 +41,7 @@
 				account,
 				service: request.params.name as string,
 				call: request.params.call as string,
-				idempotencyKey: givenKey ?? `${account}-${randomUUID()}`,
+				idempotencyKey: clientKey ?? `${account}-${randomUUID()}`,
 				idempotent: isIdempotent,
 				payload: request.payload ?? {},
 			};
@@ -48,7 +49,7 @@
 				const answer = await context.services.call(call, context.signal);
 				return h.response(answer.body as Record<string, unknown>).code(answer.statusCode);
 			} catch (error) {
-				return answerError(h, call, error);
+				return respondToError(h, call, error);
 			} finally {
 				admission.release();
 			}
@@ -56,15 +57,15 @@
 	});
 }
 
-function answerError(h: Hapi.ResponseToolkit, call: ServiceCall, error: unknown): Hapi.ResponseObject {
+function respondToError(h: Hapi.ResponseToolkit, call: ServiceCall, error: unknown): Hapi.ResponseObject {
 	if (error instanceof KeyTakenError) {
-		return answerFailure(h, {
+		return respondWithFailure(h, {
 			status: 409, message: `Idempotency key ${call.idempotencyKey} was already submitted; that call's outcome is not known here.`, code: 'idempotency_key_in_use', outcome: Outcome.Unknown,
 		});
 	}
 
 	if (error instanceof OutcomeUnknownError) {
-		return answerFailure(h, {
+		return respondWithFailure(h, {
 			status: 502, message: 'The service call may or may not have run.', code: 'outcome_unknown', outcome: Outcome.Unknown,
 		});
 	}
