--- a/src/__tests__/log-output.test.ts
+++ b/src/__tests__/log-output.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, it} from 'vitest';
 import {LogOutput} from '../log-output.js';
 
-/** An output whose reader takes nothing, or everything. */
+/** Creates an output whose reader reads everything or nothing. */
 function createOutput(isRead: boolean): {output: Writable; lines: string[]} {
 	const lines: string[] = [];
 	const output = new Writable({
@@ -17,7 +17,7 @@
 }
 
 describe('LogOutput', () => {
-	it('drops lines beyond its rate and says how many', () => {
+	it('drops lines beyond its rate limit and logs how many', () => {
 		const {output, lines} = createOutput(true);
 		const log = new LogOutput(output);
 		for (let index = 0; index < 1000; index++) {
@@ -29,7 +29,7 @@
 		expect(lines.at(-2)).toContain('"dropped":600');
 	});
 
-	it('holds a bounded amount for a reader that takes nothing', () => {
+	it('buffers a bounded amount when nothing is read', () => {
 		const {output} = createOutput(false);
 		const log = new LogOutput(output);
 		for (let index = 0; index < 10_000; index++) {
--- a/src/abort.ts
+++ b/src/abort.ts
@@ -1,5 +1,5 @@
 /**
- * Helpers for the abort signals that own every long task.
+ * Helpers for abort signals, which end the long-running tasks of a process.
  */
 
 /** Resolves when the signal aborts. */
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -9,7 +9,7 @@
 import {
 	command, number, oneOf, option, optional, positional, run, string, subcommands,
 } from 'cmd-ts';
-import {enableLogs, logToStandardOutput} from '../log.js';
+import {logToStandardError, logToStandardOutput} from '../log.js';
 import {SesametallyError} from '../errors.js';
 import {AdminAction, StandinPart} from './subcommands.js';
 
@@ -145,5 +145,5 @@
 
 // A reload signal that comes before a role listens for it must not end the process.
 process.on('SIGHUP', () => undefined);
-enableLogs(process.env);
+logToStandardError(process.env);
 void run(cli, process.argv.slice(2));
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,15 +1,15 @@
 /**
- * The clocks that decisions about leases and belief read. A process that was stopped or
- * whose VM was suspended finds out from whichever of them moved on.
+ * Clocks for decisions about leases and the staleness of views. A process that was stopped,
+ * or whose VM was suspended, detects that from whichever clock moved on.
  */
 import os from 'node:os';
 import {performance} from 'node:perf_hooks';
 
 /** One reading of both clocks, in milliseconds. */
 export type Instant = {
-	/** Never goes back; stands still while the VM is suspended. */
+	/** The monotonic clock, which never goes back and doesn't advance while the VM is suspended. */
 	monotonicMs: number;
-	/** The time of day; may jump either way. */
+	/** The wall clock, which may jump in either direction. */
 	wallMs: number;
 };
 
@@ -18,16 +18,16 @@
 	return {monotonicMs: performance.now(), wallMs: Date.now()};
 }
 
-/** A change of the time of day against the monotonic clock beyond this is a jump or a suspension, in milliseconds. */
+/** A larger drift between the wall clock and the monotonic clock is a clock jump or a suspension, in milliseconds. */
 const driftToleranceMs = 40;
-/** The system's uptime is read in hundredths of a second, in milliseconds. */
-const uptimeErrorMs = 20;
+/** Largest error of the system uptime, in milliseconds; the system reports it in hundredths of a second. */
+const uptimeResolutionMs = 20;
 
-/** Where a {@link SteadyClock} reads the time; replaced in tests. */
+/** The time sources of a {@link SteadyClock}; tests replace them. */
 export type TimeSources = {
 	monotonicMs(): number;
 	wallMs(): number;
-	/** Time since the system started, suspensions included. */
+	/** Time since the system started, including suspensions. */
 	uptimeMs(): number;
 };
 
@@ -38,30 +38,30 @@
 };
 
 /**
- * A clock in milliseconds that never goes back, counts the time a VM was suspended, and
- * ignores jumps of the time of day. The uptime costs a file read, so it is only read when
- * the time of day and the monotonic clock disagree.
+ * A clock in milliseconds that never goes back, includes the time for which the VM was
+ * suspended, and ignores jumps of the wall clock. Reading the uptime takes a file read, so
+ * it is only read when the wall clock and the monotonic clock drift apart.
  */
 export class SteadyClock {
 	private suspendedMs = 0;
 	private driftMs: number;
-	private readonly baselineMs: number;
+	private readonly uptimeOffsetMs: number;
 	private readonly wallOffsetMs: number;
 
 	constructor(private readonly sources: TimeSources = systemTime) {
 		this.driftMs = sources.wallMs() - sources.monotonicMs();
 		this.wallOffsetMs = this.driftMs;
-		this.baselineMs = sources.uptimeMs() - sources.monotonicMs();
+		this.uptimeOffsetMs = sources.uptimeMs() - sources.monotonicMs();
 	}
 
-	/** Milliseconds since an arbitrary start. */
+	/** Returns the milliseconds since an arbitrary start. */
 	now(): number {
 		const monotonicMs = this.sources.monotonicMs();
 		const driftMs = this.sources.wallMs() - monotonicMs;
 		if (Math.abs(driftMs - this.driftMs) > driftToleranceMs) {
 			this.driftMs = driftMs;
-			const suspendedMs = this.sources.uptimeMs() - monotonicMs - this.baselineMs;
-			if (suspendedMs > this.suspendedMs + uptimeErrorMs) {
+			const suspendedMs = this.sources.uptimeMs() - monotonicMs - this.uptimeOffsetMs;
+			if (suspendedMs > this.suspendedMs + uptimeResolutionMs) {
 				this.suspendedMs = suspendedMs;
 			}
 		}
@@ -69,7 +69,7 @@
 		return monotonicMs + this.suspendedMs;
 	}
 
-	/** The time of day of the process's start carried forward, in milliseconds since 1970; later jumps of the time of day don't show. */
+	/** Returns the wall-clock time at the process's start plus the time since then, in milliseconds since 1970; later jumps of the wall clock have no effect. */
 	wallNow(): number {
 		return this.now() + this.wallOffsetMs;
 	}
--- a/src/errors.ts
+++ b/src/errors.ts
@@ -1,6 +1,6 @@
 /**
- * The base of every error class of the project. Each layer (transport, protocol,
- * coordination, state) derives its own class and wraps errors from below as `cause`.
+ * The base class of all errors of the project. Each layer (transport, protocol,
+ * coordination, state) derives its own classes and sets errors of lower layers as `cause`.
  */
 export class SesametallyError extends Error {
 	constructor(message: string, options?: ErrorOptions) {
--- a/src/gate.ts
+++ b/src/gate.ts
@@ -1,36 +1,37 @@
-/** A gate that is closed until it is opened once. */
+/** A one-shot latch: tasks wait until it is opened once and for all. */
 
-/** Holds callers until it opens. */
+/** A latch that starts closed and stays open once opened. */
 export class Gate {
 	private isOpen = false;
-	private readonly waiting = new Set<() => void>();
+	private readonly waiters = new Set<() => void>();
 
+	/** Opens the latch and resolves all waiting calls. */
 	open(): void {
 		this.isOpen = true;
-		for (const pass of this.waiting) {
-			pass();
+		for (const resume of this.waiters) {
+			resume();
 		}
 
-		this.waiting.clear();
+		this.waiters.clear();
 	}
 
-	/** Resolves when the gate is open, or after `mostMs`. */
-	async wait(mostMs: number): Promise<void> {
+	/** Resolves when the latch is open, or after `timeoutMs` milliseconds. */
+	async wait(timeoutMs: number): Promise<void> {
 		if (this.isOpen) {
 			return;
 		}
 
 		await new Promise<void>(resolve => {
 			const timer = setTimeout(() => {
-				this.waiting.delete(pass);
+				this.waiters.delete(resume);
 				resolve();
-			}, mostMs);
-			const pass = () => {
+			}, timeoutMs);
+			const resume = () => {
 				clearTimeout(timer);
 				resolve();
 			};
 
-			this.waiting.add(pass);
+			this.waiters.add(resume);
 		});
 	}
 }
--- a/src/log-output.ts
+++ b/src/log-output.ts
@@ -1,54 +1,54 @@
 /**
- * Standard output for log lines. Writing never blocks and its volume is bounded: lines
- * beyond a rate, or beyond what a slow reader has left unread, are counted and dropped,
- * and the count is logged when lines flow again.
+ * Writes log lines to standard output without blocking and with a bounded volume. Lines
+ * beyond a rate limit, or beyond the amount that a slow reader may leave unread, are dropped
+ * and counted; the count is logged with the next line that is written.
  */
 import {createWriteStream, fstatSync} from 'node:fs';
 import {Socket} from 'node:net';
 import {type Writable} from 'node:stream';
 
-/** Lines a second; three times what a daemon writes at the deployments' peak. */
-const linesPerSecond = 150;
-/** Lines that may be written at once beyond the rate. */
-const burstLines = 400;
-/** Bytes left unread by the reader beyond which lines are dropped. */
-const mostUnreadBytes = 256 * 1024;
-const standardOutput = 1;
+/** Sustained rate limit, in lines per second: three times what a daemon writes at peak load. */
+const maxLinesPerSecond = 150;
+/** Burst size of the rate limit, in lines. */
+const maxBurstLines = 400;
+/** Amount of unread output beyond which lines are dropped, in bytes. */
+const maxUnreadBytes = 256 * 1024;
+const standardOutputFd = 1;
 
-/** Opens standard output so that a write never waits: node's own stream blocks on a full pipe. */
+/** Opens standard output so that writes never block; `process.stdout` of Node.js blocks on a full pipe. */
 function openOutput(): Writable {
-	const status = fstatSync(standardOutput);
+	const status = fstatSync(standardOutputFd);
 	return status.isFIFO() || status.isSocket()
-		? new Socket({fd: standardOutput, readable: false, writable: true})
-		: createWriteStream('', {fd: standardOutput, autoClose: false});
+		? new Socket({fd: standardOutputFd, readable: false, writable: true})
+		: createWriteStream('', {fd: standardOutputFd, autoClose: false});
 }
 
-/** A bounded writer of lines. */
+/** Writes lines within a rate limit and a buffer limit. */
 export class LogOutput {
-	private allowance = burstLines;
+	private availableLines = maxBurstLines;
 	private refilledAtMs = 0;
-	private dropped = 0;
+	private droppedLines = 0;
 
 	constructor(private readonly output: Writable = openOutput()) {
-		// A reader that went away must not end the process; its lines are lost with it.
+		// The loss of the reader must not end the process; lines without a reader are lost.
 		output.on('error', () => undefined);
 	}
 
-	/** Writes one line, or drops it. */
+	/** Writes one line, or drops it beyond the limits. */
 	write(line: string, nowMs: number): void {
-		this.allowance = Math.min(burstLines, this.allowance + (Math.max(0, nowMs - this.refilledAtMs) / 1000 * linesPerSecond));
+		this.availableLines = Math.min(maxBurstLines, this.availableLines + (Math.max(0, nowMs - this.refilledAtMs) / 1000 * maxLinesPerSecond));
 		this.refilledAtMs = nowMs;
-		if (this.allowance < 1 || this.output.writableLength > mostUnreadBytes) {
-			this.dropped++;
+		if (this.availableLines < 1 || this.output.writableLength > maxUnreadBytes) {
+			this.droppedLines++;
 			return;
 		}
 
-		if (this.dropped > 0) {
-			this.output.write(`{"message":"log: lines dropped.","context":{"part":"log","dropped":${this.dropped}}}\n`);
-			this.dropped = 0;
+		if (this.droppedLines > 0) {
+			this.output.write(`{"message":"log: lines dropped.","context":{"part":"log","dropped":${this.droppedLines}}}\n`);
+			this.droppedLines = 0;
 		}
 
-		this.allowance--;
+		this.availableLines--;
 		this.output.write(line + '\n');
 	}
 }
--- a/src/log.ts
+++ b/src/log.ts
@@ -1,17 +1,17 @@
 /**
- * Structured logs through `roarr`. Each part of the system logs under a fixed prefix
- * (`gateway:`, `lease:`), in short sentences, with values as context rather than
- * interpolated into the message.
+ * Structured logs, based on `roarr`. Each part of the system logs short sentences with a
+ * fixed prefix (`gateway:`, `lease:`), and passes values as context rather than
+ * interpolating them into the message.
  */
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
 import {Roarr, ROARR} from 'roarr';
 import {LogOutput} from './log-output.js';
 
-/** The JSON-serialisable values a log line carries beside its message. */
+/** JSON-serialisable values that a log line contains in addition to its message. */
 export type LogContext = Record<string, string | number | boolean | undefined | string[] | number[]>;
 
-/** A logger bound to one part of the system. */
+/** The logger of one part of the system. */
 export type Logger = {
 	debug(message: string, context?: LogContext): void;
 	info(message: string, context?: LogContext): void;
@@ -20,33 +20,33 @@
 };
 
 /**
- * Creates the logger of one part.
+ * Creates the logger of one part of the system.
  *
  * @param part The fixed prefix, such as `gateway` or `standin-log`.
  */
 export function createLogger(part: string): Logger {
-	const child = Roarr.child({part});
+	const logger = Roarr.child({part});
 	return {
 		debug(message, context = {}) {
-			child.debug(context, `${part}: ${message}`);
+			logger.debug(context, `${part}: ${message}`);
 		},
 		info(message, context = {}) {
-			child.info(context, `${part}: ${message}`);
+			logger.info(context, `${part}: ${message}`);
 		},
 		warn(message, context = {}) {
-			child.warn(context, `${part}: ${message}`);
+			logger.warn(context, `${part}: ${message}`);
 		},
 		error(message, context = {}) {
-			child.error(context, `${part}: ${message}`);
+			logger.error(context, `${part}: ${message}`);
 		},
 	};
 }
 
 /**
- * Sends log lines, one JSON object each, to standard error.
- * `SESAMETALLY_LOG=off` silences them (the bench does so for its own output).
+ * Writes log lines to standard error, each as one JSON object. `SESAMETALLY_LOG=off`
+ * disables them, as the benchmark does to keep its own output readable.
  */
-export function enableLogs(environment: NodeJS.ProcessEnv): void {
+export function logToStandardError(environment: NodeJS.ProcessEnv): void {
 	if (environment.SESAMETALLY_LOG === 'off') {
 		ROARR.write = () => undefined;
 		return;
@@ -57,7 +57,7 @@
 	};
 }
 
-/** Sends log lines to standard output without ever blocking on it. */
+/** Writes log lines to standard output without blocking; `SESAMETALLY_LOG=off` disables them. */
 export function logToStandardOutput(environment: NodeJS.ProcessEnv): void {
 	if (environment.SESAMETALLY_LOG === 'off') {
 		return;
--- a/src/transport/__tests__/raw-client.test.ts
+++ b/src/transport/__tests__/raw-client.test.ts
@@ -33,6 +33,6 @@
 		});
 		const client = new RawClient(`http://127.0.0.1:${(server.address() as AddressInfo).port}`);
 		const call = client.call({method: 'GET', path: '/', timeoutMs});
-		await (isComplete ? expect(call).resolves.toMatchObject({statusCode: 200}) : expect(call).rejects.toThrow('got no answer on a new connection'));
+		await (isComplete ? expect(call).resolves.toMatchObject({statusCode: 200}) : expect(call).rejects.toThrow('got no response on a new connection'));
 	});
 });
--- a/src/transport/errors.ts
+++ b/src/transport/errors.ts
@@ -10,7 +10,7 @@
 		readonly statusCode: number,
 		readonly body: unknown,
 	) {
-		super(`request to ${url} answered ${statusCode}`);
+		super(`request to ${url} returned status ${statusCode}`);
 	}
 }
 
--- a/src/transport/raw-client.ts
+++ b/src/transport/raw-client.ts
@@ -68,8 +68,8 @@
 			return {statusCode: response.statusCode ?? 0, body: responseBody};
 		} catch (error) {
 			this.closeIdleConnections();
-			const connection = pending.req.reusedSocket ? 'a kept connection' : 'a new connection';
-			throw new TransportError(`${requestName} got no answer on ${connection} in ${Math.round(performance.now() - startedAtMs)} ms`, {cause: error});
+			const connection = pending.req.reusedSocket ? 'a reused connection' : 'a new connection';
+			throw new TransportError(`${requestName} got no response on ${connection} in ${Math.round(performance.now() - startedAtMs)} ms`, {cause: error});
 		} finally {
 			clearTimeout(timer);
 			signal?.removeEventListener('abort', abort);
