--- a/src/cli/__tests__/example-settings.test.ts
+++ b/src/cli/__tests__/example-settings.test.ts
@@ -6,8 +6,8 @@
 import {gatewayValidator} from '../../protocol/gateway-settings.js';
 import {loadSettings} from '../../protocol/settings.js';
 
-describe('the settings of the examples', () => {
-	it.each([{deployment: 'cooperativa'}, {deployment: 'jari'}])('$deployment: are those of its stack.json, and pass the schema', ({deployment}) => {
+describe('example settings', () => {
+	it.each([{deployment: 'cooperativa'}, {deployment: 'jari'}])('of $deployment match its stack.json and the schema', ({deployment}) => {
 		const example = path.join('examples', deployment);
 		const topology = JSON.parse(readFileSync(path.join(example, 'stack.json'), 'utf8')) as Record<string, unknown>;
 		const dir = mkdtempSync(path.join(tmpdir(), 'sesametally-examples-'));
--- a/src/cli/__tests__/local-stack.test.ts
+++ b/src/cli/__tests__/local-stack.test.ts
@@ -44,7 +44,7 @@
 	};
 }
 
-describe('the whole path', () => {
+describe('a local stack', () => {
 	it.each([
 		{
 			name: 'completions, short', path: '/v1/completions', prompt: 'price the cathode lot', maxTokens: 8,
@@ -55,7 +55,7 @@
 		{
 			name: 'chat', path: '/v1/chat/completions', prompt: undefined, maxTokens: 20,
 		},
-	])('streams a whole answer byte for byte: $name', async ({path, prompt, maxTokens}) => {
+	])('streams a complete and exact response: $name', async ({path, prompt, maxTokens}) => {
 		const messages = [{role: 'user', content: 'When does the gate open?'}];
 		const payload = prompt === undefined ? {model: 'desk', messages, max_tokens: maxTokens} : {model: 'desk', prompt, max_tokens: maxTokens};
 		const answer = await streamText(stack.gateways[0].url, path, payload);
@@ -72,7 +72,7 @@
 		{
 			name: 'unknown model', key: apiKey, model: 'nope', status: 404, code: 'model_not_found',
 		},
-	])('refuses before any work: $name', async ({key, model, status, code}) => {
+	])('refuses a request that cannot run: $name', async ({key, model, status, code}) => {
 		const answer = await requestJson<{error: {code: string}}>({
 			method: 'POST', url: `${stack.gateways[1].url}/v1/completions`, payload: {model, prompt: 'x'}, headers: {authorization: `Bearer ${key}`},
 		});
@@ -81,7 +81,7 @@
 		expect(answer.headers['x-sesametally-outcome']).toBe('not-run');
 	});
 
-	it('puts a published and activated preset in force on all three gateways', async () => {
+	it('applies a published and activated preset on all three gateways', async () => {
 		const preset = {name: 'peak', limits: {default: {requestsPerSecond: 100, burst: 100, maxConcurrent: 50}}};
 		const headers = {authorization: 'Bearer desk-ops-token-0001'};
 		const published = await requestJson<{accepted: boolean}>({
--- a/src/cli/__tests__/logs.test.ts
+++ b/src/cli/__tests__/logs.test.ts
@@ -7,8 +7,8 @@
 
 const dir = mkdtempSync(path.join(tmpdir(), 'sesametally-logs-'));
 
-/** Starts a stand-in and returns its first line on standard error, then stops it. */
-async function firstLogLine(environment: Record<string, string>): Promise<string> {
+/** Starts a stand-in, reads its first line on standard error, and stops it. */
+async function readFirstLogLine(environment: Record<string, string>): Promise<string> {
 	const file = path.join(dir, 'log.json');
 	writeFileSync(file, JSON.stringify({listen: {host: '127.0.0.1', port: 0}, failureDomain: 'fd-a'}));
 	const child = spawn(process.execPath, ['dist/sesametally.cjs', 'standin', 'log', '--config', file], {env: {...process.env, ...environment}, stdio: ['ignore', 'ignore', 'pipe']});
@@ -34,10 +34,10 @@
 
 describe('logs', () => {
 	it.each([
-		{name: 'on by default, as JSON with a fixed prefix', environment: {SESAMETALLY_LOG: 'on'}, message: 'standin-log: listening.'},
-		{name: 'off on request', environment: {SESAMETALLY_LOG: 'off'}, message: undefined},
+		{name: 'are JSON with a fixed prefix', environment: {SESAMETALLY_LOG: 'on'}, message: 'standin-log: listening.'},
+		{name: 'are disabled by SESAMETALLY_LOG=off', environment: {SESAMETALLY_LOG: 'off'}, message: undefined},
 	])('$name', async ({environment, message}) => {
-		const line = await firstLogLine(environment);
+		const line = await readFirstLogLine(environment);
 		if (message === undefined) {
 			expect(line).toBe('');
 			return;
--- a/src/cli/commands/admin.ts
+++ b/src/cli/commands/admin.ts
@@ -1,25 +1,25 @@
 /**
- * `sesametally admin <action>`: an operator's client of a gateway's administration API.
- * Each action prints the JSON answer and exits non-zero unless it was a 2xx.
+ * `sesametally admin <action>`: the command-line client of a gateway's administration API.
+ * Each action prints the JSON response; the exit code is 0 for a 2xx status.
  */
 import process from 'node:process';
 import {readFileSync} from 'node:fs';
 import {requestJson} from '../../transport/http-client.js';
 import {AdminAction} from '../subcommands.js';
 
-/** Options common to admin actions. */
+/** The options of all admin actions. */
 export type AdminOptions = {
 	url: string;
 	token: string | undefined;
-	/** For publish: the preset file; for activate: the preset name; for drain and undrain: the backend server id. */
+	/** The preset file to publish, the name of the preset to activate, or the id of the backend server to drain or undrain. */
 	target: string | undefined;
 	base: number | undefined;
 };
 
 /**
- * Carries out one admin action.
+ * Runs one admin action.
  *
- * @returns The process exit code: 0 for a 2xx answer, 1 otherwise.
+ * @returns The process exit code: 0 for a 2xx response, 1 otherwise.
  * @throws {TransportError} When the gateway cannot be reached.
  */
 export async function runAdmin(action: AdminAction, options: AdminOptions): Promise<number> {
--- a/src/cli/commands/bench.ts
+++ b/src/cli/commands/bench.ts
@@ -1,6 +1,6 @@
 /**
- * `sesametally bench`: runs an experiment file and prints a summary; the JSON
- * report goes to `--out` when given.
+ * `sesametally bench`: runs the experiment of a JSON file and prints a summary; `--out`
+ * also writes the report as JSON.
  */
 import process from 'node:process';
 import {writeFileSync} from 'node:fs';
@@ -10,7 +10,7 @@
 /**
  * Runs one experiment.
  *
- * @throws {ProtocolError} When the experiment file fails its schema.
+ * @throws {ProtocolError} When the experiment file does not match its schema.
  */
 export async function runBench(experimentFile: string, out: string | undefined, signal: AbortSignal): Promise<void> {
 	const report = await runExperiment(loadExperiment(experimentFile), signal);
--- a/src/cli/commands/front.ts
+++ b/src/cli/commands/front.ts
@@ -1,7 +1,7 @@
 /**
- * `sesametally front`: the serving daemon on each entry VM of a platform. It forwards
- * callers' requests to backend servers, follows the platform's store, speaks with its
- * peers, and performs the singleton duties while it holds their lease.
+ * `sesametally front`: runs the serving daemon of an entry VM. The daemon forwards clients'
+ * requests to backend servers, follows the platform's store, exchanges state with its peers,
+ * and performs the singleton duties while it holds their lease.
  */
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
@@ -16,12 +16,12 @@
 
 const log = createLogger('front');
 
-/** Time for the balancer's checks to see that the daemon stops, in milliseconds: two misses a second apart, and a margin. */
-const leaveBalancerMs = 2600;
-/** Time kept at the end of the grace period for closing what is left, in milliseconds. */
+/** Time until the load balancer has noticed that the daemon stops, in milliseconds: two failed checks a second apart, plus a margin. */
+const leaveRotationMs = 2600;
+/** Time reserved at the end of the grace period for closing the remaining connections, in milliseconds. */
 const closeMarginMs = 500;
-/** How often the open requests are looked at while stopping, in milliseconds. */
-const stopCheckMs = 50;
+/** Interval at which the number of open requests is checked while stopping, in milliseconds. */
+const stopCheckIntervalMs = 50;
 
 /** Runs a serving daemon until the signal aborts, then stops it within the platform's grace period. */
 export async function runFront(platform: Platform, signal: AbortSignal): Promise<void> {
@@ -29,7 +29,7 @@
 	const tasks = new AbortController();
 	const daemon = new FrontDaemon(platform, `${settings.name}#${randomBytes(4).toString('hex')}`, tasks.signal);
 	const readiness = await openReadinessServer(settings.readiness, platform.dialect.readinessPath, () => daemon.isReady);
-	let metrics: DiagnosticsServer | undefined;
+	let diagnosticsServer: DiagnosticsServer | undefined;
 	try {
 		await daemon.start();
 		log.info('started.', {
@@ -41,40 +41,40 @@
 		};
 
 		process.on('SIGHUP', reload);
-		metrics = await openMetrics(daemon, settings);
+		diagnosticsServer = await startDiagnosticsServer(daemon, settings);
 		await waitForAbort(signal);
 		await finishRequests(daemon, settings.bounds.graceMs);
 	} finally {
-		// Also where a port is taken: a process left with open ports and no one to stop it would have to be killed, and cut its requests.
+		// Also runs if a port cannot be bound: otherwise the open ports would keep the process running, and killing it would interrupt its requests.
 		const {openRequests} = daemon;
-		daemon.closeCallers();
-		daemon.destroyCallers();
+		daemon.closeServer();
+		daemon.destroyConnections();
 		tasks.abort();
 		readiness.close();
 		readiness.closeAllConnections();
-		metrics?.close();
+		diagnosticsServer?.close();
 		log.info('stopped.', {cutOff: openRequests});
 	}
 }
 
-/** Leaves the balancer's rotation, and waits for the open requests to end while the grace period lasts. */
+/** Leaves the load balancer's rotation, and waits until the open requests have ended or the grace period is almost over. */
 async function finishRequests(daemon: FrontDaemon, graceMs: number): Promise<void> {
-	const stopBy = performance.now() + graceMs - closeMarginMs;
+	const deadlineMs = performance.now() + graceMs - closeMarginMs;
 	log.info('stopping.', {open: daemon.openRequests, graceMs});
 	daemon.beginStop();
-	await delay(leaveBalancerMs);
-	daemon.closeCallers();
-	while (daemon.openRequests > 0 && performance.now() < stopBy) {
+	await delay(leaveRotationMs);
+	daemon.closeServer();
+	while (daemon.openRequests > 0 && performance.now() < deadlineMs) {
 		// eslint-disable-next-line no-await-in-loop
-		await delay(stopCheckMs);
+		await delay(stopCheckIntervalMs);
 	}
 }
 
-/** Opens the metrics port, whose libraries are loaded last: they take longer than the rest of the start. */
-async function openMetrics(daemon: FrontDaemon, settings: FrontSettings): Promise<DiagnosticsServer> {
+/** Starts the diagnostics server on the metrics port; loads its libraries last, since they take longer than the rest of the start. */
+async function startDiagnosticsServer(daemon: FrontDaemon, settings: FrontSettings): Promise<DiagnosticsServer> {
 	const {createRegistry} = await import('../../transport/process-registry.js');
-	const metrics = await import('../../coordination/serving/serving-metrics.js');
+	const servingMetrics = await import('../../coordination/serving/serving-metrics.js');
 	const registry = createRegistry();
-	daemon.observe(new metrics.ServingMetrics(registry, {openRequests: () => daemon.openRequests, views: () => daemon.views}));
+	daemon.useMetrics(new servingMetrics.ServingMetrics(registry, {openRequests: () => daemon.openRequests, views: () => daemon.views}));
 	return DiagnosticsServer.open({host: settings.host, port: settings.metricsPort}, registry, () => daemon.dump());
 }
--- a/src/cli/commands/gateway.ts
+++ b/src/cli/commands/gateway.ts
@@ -1,7 +1,8 @@
 /**
- * `sesametally gateway`: the process on each entry VM. It serves callers, follows
- * the config stream, tracks engine load, and keeps heartbeats with its peers. On
- * SIGTERM it stops taking requests, finishes those in flight (up to `drainMs`) and exits.
+ * `sesametally gateway`: runs the gateway of an entry VM. The gateway serves callers, follows
+ * the configuration stream, tracks the load of engines, and exchanges heartbeats with its
+ * peers. On SIGTERM it stops accepting requests, waits up to `drainMs` for those in flight,
+ * and exits.
  */
 import {setMaxListeners} from 'node:events';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -31,7 +32,7 @@
 import {acceptPeerLinks, runPeerLink, type PeerTraffic} from '../../transport/peer-link.js';
 import {createLogger} from '../../log.js';
 import {waitForAbort} from '../../abort.js';
-import {createGatewayContainer} from '../container.js';
+import {createGatewayContainer} from '../gateway-container.js';
 import {GatewayState} from '../gateway-state.js';
 
 const log = createLogger('gateway');
@@ -39,29 +40,29 @@
 /**
  * Runs a gateway until the signal aborts.
  *
- * @throws {SettingsError} Before any port opens, when the settings are bad.
+ * @throws {SettingsError} When the settings are invalid; no port is open then.
  */
 export async function runGateway(settingsFile: string, signal: AbortSignal): Promise<void> {
 	const settings = loadSettings<GatewaySettings>(settingsFile, gatewayValidator);
-	const services = createGatewayContainer(settings);
-	const config = services.resolve(ConfigTable);
-	const platformLog = services.resolve(PlatformLog);
-	const directory = services.resolve(BackendDirectory);
-	const loads = services.resolve(LoadTracker);
-	const completions = services.resolve(Completions);
-	const membership = services.resolve(Membership);
-	const journal = services.resolve(Journal);
-	const lease = services.resolve(LeaseKeeper);
-	const controller = services.resolve(FleetController);
+	const container = createGatewayContainer(settings);
+	const config = container.resolve(ConfigTable);
+	const platformLog = container.resolve(PlatformLog);
+	const directory = container.resolve(BackendDirectory);
+	const loads = container.resolve(LoadTracker);
+	const completions = container.resolve(Completions);
+	const membership = container.resolve(Membership);
+	const journal = container.resolve(Journal);
+	const lease = container.resolve(LeaseKeeper);
+	const controller = container.resolve(FleetController);
 	const traffic: PeerTraffic = {
 		bytesSent: 0, bytesReceived: 0, messagesSent: 0, messagesReceived: 0,
 	};
 	const tasks = new AbortController();
 	const stopTasks = tasks.signal;
-	// One listener per peer link and per engine poller.
+	// Each peer connection and each engine poller adds a listener.
 	setMaxListeners(0, stopTasks);
 
-	const state = new GatewayState(settings, services, traffic);
+	const state = new GatewayState(settings, container, traffic);
 	const registry = createRegistry();
 	state.addMetrics(registry);
 	let isStopping = false;
@@ -69,8 +70,8 @@
 	addCallerRoutes(callers, {
 		accounts: settings.clientAccounts,
 		completions,
-		services: services.resolve(ServiceCalls),
-		limits: services.resolve(Limits),
+		services: container.resolve(ServiceCalls),
+		limits: container.resolve(Limits),
 		membership,
 		metrics: new CallerMetrics(registry),
 		config,
@@ -92,7 +93,7 @@
 		id: settings.id, failureDomain: settings.failureDomain, port: callers.info.port, adminPort: admin.info.port,
 	});
 
-	const heartbeat = (): Heartbeat => ({
+	const createHeartbeat = (): Heartbeat => ({
 		kind: PeerMessageKind.Heartbeat,
 		id: settings.id,
 		failureDomain: settings.failureDomain,
@@ -103,7 +104,7 @@
 	});
 	const {cloud, vmList} = settings;
 	loads.run(stopTasks);
-	const running = Promise.all([
+	const backgroundTasks = Promise.all([
 		followConfig(platformLog, config, stopTasks),
 		journal.follow(stopTasks),
 		lease.run(stopTasks),
@@ -111,18 +112,18 @@
 		cloud && followNotices({url: cloud.url, pollMs: cloud.noticePollMs}, directory, stopTasks),
 		vmList && followVmList(vmList, directory, stopTasks),
 		...settings.peers.map(async peer => runPeerLink({
-			peer, intervalMs: settings.heartbeatMs, createMessage: heartbeat, traffic,
+			peer, intervalMs: settings.heartbeatMs, createMessage: createHeartbeat, traffic,
 		}, stopTasks)),
 	]);
 
 	await waitForAbort(signal);
 	log.info('draining.', {drainMs: settings.drainMs, inFlight: completions.inFlight});
 	isStopping = true;
-	// The balancer's next checks must see the change before the port closes.
+	// The load balancer's next checks must see that the gateway is not ready before the port closes.
 	await delay(settings.notReadyMs);
 	await callers.stop({timeout: settings.drainMs});
 	tasks.abort();
-	await running;
+	await backgroundTasks;
 	await lease.giveUp();
 	await admin.stop({timeout: 1000});
 	log.info('stopped.');
--- a/src/cli/commands/standin.ts
+++ b/src/cli/commands/standin.ts
@@ -1,5 +1,5 @@
 /**
- * `sesametally standin <part>`: runs one stand-in of the platform as its own process.
+ * `sesametally standin <part>`: runs one stand-in of a platform service in a process of its own.
  */
 import process from 'node:process';
 import {
@@ -17,7 +17,7 @@
 /**
  * Runs a stand-in until the signal aborts.
  *
- * @throws {SettingsError} Before any port opens, when the settings are bad.
+ * @throws {SettingsError} When the settings are invalid; no port is open then.
  */
 export async function runStandin(part: StandinPart, settingsFile: string, signal: AbortSignal): Promise<void> {
 	switch (part) {
--- a/src/cli/front-container.ts
+++ b/src/cli/front-container.ts
@@ -1,5 +1,5 @@
-/** Wiring of a serving daemon's parts with `tsyringe`: each part is built once, on first use. */
-// The metadata polyfill that tsyringe needs loaded once, before any container use.
+/** Dependency injection for a serving daemon, based on `tsyringe`; each component is created once, on first use. */
+// Tsyringe requires this metadata polyfill before any use of a container.
 import 'reflect-metadata'; // eslint-disable-line import-x/no-unassigned-import
 import {
 	container, type DependencyContainer, type InjectionToken, instanceCachingFactory,
@@ -35,66 +35,66 @@
 import {type RecordSink, TopicFollower} from '../coordination/topic-follower.js';
 import {UsageLedger} from '../coordination/usage-ledger.js';
 
-/** Share of the revocation bound that a view may reach before keys are not believed any more. The age counts from when a read was sent and is looked at when a request arrives, so the rest only covers the clocks' errors. */
-const beliefShare = 0.92;
+/** Largest age of the configuration view at which API keys are still accepted, as a share of the revocation bound. The age counts from the sending of a read and is checked when a request arrives, so the margin only has to cover clock errors. */
+const maxViewAgeShare = 0.92;
 
-/** Share of the revocation bound for which one read of the configuration waits at most, so that one read may fail before keys are not believed any more. */
-const configWaitShare = 0.22;
-/** Share of the revocation bound up to which a daemon goes by what relays say of the configuration at most: time is left for reads of its own before keys are not believed any more. */
-const configCarriedShare = 0.55;
-/** How long one read of the backend servers waits at most, in milliseconds. */
-const backendsWaitMs = 2000;
-/** The same for a relay, in milliseconds, whose view others go by. */
-const relayBackendsWaitMs = 800;
-/** Age up to which a daemon goes by what relays say of the backend servers at most, in milliseconds. */
-const backendsCarriedMs = 2100;
-/** Configurations that one read brings, in bytes: a small one comes at once, of large ones only the newest is read. */
-const mostConfigBytes = 64 * 1024;
-/** Entries of backend servers that one read brings, in bytes: thousands of them. */
-const mostBackendsBytes = 1024 * 1024;
-/** Pause after changes of the backend servers before the next read, in milliseconds: of 14,776 store and cloud calls of 86 daemons in 24 s, most were reads that brought one record. */
-const backendsGatherMs = 100;
+/** Longest wait of one long poll of the configuration, as a share of the revocation bound; one read may fail before API keys are no longer accepted. */
+const maxConfigWaitShare = 0.22;
+/** Largest age up to which a daemon relies on relays for the configuration, as a share of the revocation bound; it leaves time for reads of the store before API keys are no longer accepted. */
+const maxConfigRelayAgeShare = 0.55;
+/** Longest wait of one long poll of the backend servers, in milliseconds. */
+const maxBackendsWaitMs = 2000;
+/** The same for a relay, in milliseconds; shorter, since other daemons rely on its view. */
+const maxRelayBackendsWaitMs = 800;
+/** Largest age up to which a daemon relies on relays for the backend servers, in milliseconds. */
+const maxBackendsRelayAgeMs = 2100;
+/** Size limit of one read of the configuration, in bytes: a small configuration arrives with the first read; of several large ones, only the newest is read. */
+const maxConfigBytes = 64 * 1024;
+/** Size limit of one read of the backend servers, in bytes; enough for thousands of entries. */
+const maxBackendsBytes = 1024 * 1024;
+/** Delay after a read that returned changes of the backend servers, in milliseconds, so that the next read returns several changes at once. Without it, most of the 14,776 calls that 86 daemons made to the store and the cloud in 24 s returned a single record. */
+const backendsBatchDelayMs = 100;
 
-/** Follows the operators' configuration. */
+/** Follows the configuration topic of the store. */
 export class ConfigFollower extends TopicFollower {}
 
-/** Follows the list of backend servers. */
+/** Follows the backend servers topic of the store. */
 export class BackendsFollower extends TopicFollower {}
 
-/** What the parts of one start of a daemon are built from. */
-export type FrontInputs = {
+/** The inputs from which the components of a daemon are created. */
+export type FrontContainerOptions = {
 	platform: Platform;
-	/** Unique to this start of this daemon. */
+	/** Identifies this start of this daemon. */
 	incarnation: string;
 	/** Aborts when the daemon stops. */
 	signal: AbortSignal;
-	/** What is done with the records of the store's topics. */
+	/** Creates the sinks that process the records of the store's topics. */
 	createSinks: (resolver: DependencyContainer) => {configSink: RecordSink; backendsSink: BackendsSink};
 };
 
-/** Builds the container of one serving daemon. */
-export function createFrontContainer({platform, incarnation, signal, createSinks}: FrontInputs): DependencyContainer {
+/** Creates the dependency injection container of one serving daemon. */
+export function createFrontContainer({platform, incarnation, signal, createSinks}: FrontContainerOptions): DependencyContainer {
 	const {settings, store, cloud, dialect, engines} = platform;
-	// Changed in place by a reload: parts read what may change at each use.
+	// A reload changes the bounds in place, so components read changeable bounds at each use.
 	const {bounds} = settings;
-	const child = container.createChildContainer();
+	const frontContainer = container.createChildContainer();
 	const clock = new SteadyClock();
 	const startedAtMs = clock.now();
-	const register = <T>(type: InjectionToken<T>, build: (resolver: DependencyContainer) => T) => {
-		child.register(type, {useFactory: instanceCachingFactory(build)});
+	const registerFactory = <T>(type: InjectionToken<T>, build: (resolver: DependencyContainer) => T) => {
+		frontContainer.register(type, {useFactory: instanceCachingFactory(build)});
 	};
 
-	child.registerInstance(SteadyClock, clock);
-	register(Gate, () => new Gate());
-	register(Belief, () => new Belief());
-	register(RouteTable, () => new RouteTable());
-	register(BackendTable, () => new BackendTable(bounds));
-	register(BackendPool, () => new BackendPool());
-	register(DeferredMetrics, () => new DeferredMetrics());
-	register(Placement, () => new Placement(settings.failureDomain));
-	register(FleetTable, () => new FleetTable({name: settings.name, failureDomain: settings.failureDomain, startedAtMs}));
-	register(UsageLedger, () => new UsageLedger(settings.failureDomain, incarnation, bounds.usageWindowMs));
-	register(QuotaLedger, () => new QuotaLedger({
+	frontContainer.registerInstance(SteadyClock, clock);
+	registerFactory(Gate, () => new Gate());
+	registerFactory(Belief, () => new Belief());
+	registerFactory(RouteTable, () => new RouteTable());
+	registerFactory(BackendTable, () => new BackendTable(bounds));
+	registerFactory(BackendPool, () => new BackendPool());
+	registerFactory(DeferredMetrics, () => new DeferredMetrics());
+	registerFactory(Placement, () => new Placement(settings.failureDomain));
+	registerFactory(FleetTable, () => new FleetTable({name: settings.name, failureDomain: settings.failureDomain, startedAtMs}));
+	registerFactory(UsageLedger, () => new UsageLedger(settings.failureDomain, incarnation, bounds.usageWindowMs));
+	registerFactory(QuotaLedger, () => new QuotaLedger({
 		windowMs: bounds.quotaWindowMs,
 		get tolerance() {
 			return bounds.quotaTolerance;
@@ -103,7 +103,7 @@
 			return bounds.quotaSlack;
 		},
 	}, startedAtMs, settings.isFirstStart));
-	register(RetryAllowance, () => new RetryAllowance({
+	registerFactory(RetryAllowance, () => new RetryAllowance({
 		windowMs: bounds.retryWindowMs,
 		get ratio() {
 			return bounds.retryRatio;
@@ -112,15 +112,15 @@
 			return bounds.retrySlack;
 		},
 	}));
-	register(DutyLease, () => new DutyLease(store, incarnation, bounds.leaseMs, clock));
-	register(PoolDemands, resolver => new PoolDemands(resolver.resolve(BackendTable), resolver.resolve(Placement), resolver.resolve(FleetTable), resolver.resolve(StatedLimits)));
-	register(Quarantine, resolver => new Quarantine(nowMs => resolver.resolve(DutyLease).tokenAt(nowMs) !== undefined));
-	register(QuarantineRecord, resolver => new QuarantineRecord({
+	registerFactory(DutyLease, () => new DutyLease(store, incarnation, bounds.leaseMs, clock));
+	registerFactory(PoolDemands, resolver => new PoolDemands(resolver.resolve(BackendTable), resolver.resolve(Placement), resolver.resolve(FleetTable), resolver.resolve(StatedLimits)));
+	registerFactory(Quarantine, resolver => new Quarantine(nowMs => resolver.resolve(DutyLease).tokenAt(nowMs) !== undefined));
+	registerFactory(QuarantineRecord, resolver => new QuarantineRecord({
 		store, quarantine: resolver.resolve(Quarantine), lease: resolver.resolve(DutyLease), clock,
 	}));
-	register(StatedLimits, resolver => new StatedLimits((backend, most, nowMs) => chooseSenders(resolver.resolve(FleetTable), settings.name, backend, most, nowMs)));
-	register(CrashWatch, resolver => new CrashWatch({backends: resolver.resolve(BackendTable), quarantine: resolver.resolve(Quarantine), clock}));
-	register(Dispatcher, resolver => new Dispatcher({
+	registerFactory(StatedLimits, resolver => new StatedLimits((backend, most, nowMs) => chooseSenders(resolver.resolve(FleetTable), settings.name, backend, most, nowMs)));
+	registerFactory(CrashWatch, resolver => new CrashWatch({backends: resolver.resolve(BackendTable), quarantine: resolver.resolve(Quarantine), clock}));
+	registerFactory(Dispatcher, resolver => new Dispatcher({
 		dialect,
 		backends: resolver.resolve(BackendTable),
 		placement: resolver.resolve(Placement),
@@ -132,44 +132,44 @@
 		statedLimits: resolver.resolve(StatedLimits),
 		clock,
 	}));
-	register(StreamRegistry, resolver => new StreamRegistry({
+	registerFactory(StreamRegistry, resolver => new StreamRegistry({
 		backends: resolver.resolve(BackendTable), engines, dispatcher: resolver.resolve(Dispatcher), routes: resolver.resolve(RouteTable), signal,
 	}));
-	const {configSink, backendsSink} = createSinks(child);
+	const {configSink, backendsSink} = createSinks(frontContainer);
 	const isRelay = (resolver: DependencyContainer) => resolver.resolve(FleetTable).roleAt(clock.now()) === FleetRole.Relay;
 	const isLeaf = (resolver: DependencyContainer) => resolver.resolve(FleetTable).roleAt(clock.now()) === FleetRole.Leaf;
-	const configLimits = () => limitsFor(bounds.configApplyMs, tellingMs, {
-		waitMs: bounds.revokeMs * configWaitShare, relayWaitMs: bounds.revokeMs * configWaitShare, carriedMs: bounds.revokeMs * configCarriedShare,
+	const readConfigLimits = () => limitsFor(bounds.configApplyMs, tellingMs, {
+		waitMs: bounds.revokeMs * maxConfigWaitShare, relayWaitMs: bounds.revokeMs * maxConfigWaitShare, carriedMs: bounds.revokeMs * maxConfigRelayAgeShare,
 	});
-	const backendsLimits = () => limitsFor(bounds.drainMs - backendsGatherMs, tellingMs, {waitMs: backendsWaitMs, relayWaitMs: relayBackendsWaitMs, carriedMs: backendsCarriedMs});
-	register(ConfigFollower, resolver => new ConfigFollower({
+	const readBackendsLimits = () => limitsFor(bounds.drainMs - backendsBatchDelayMs, tellingMs, {waitMs: maxBackendsWaitMs, relayWaitMs: maxRelayBackendsWaitMs, carriedMs: maxBackendsRelayAgeMs});
+	registerFactory(ConfigFollower, resolver => new ConfigFollower({
 		store,
 		topic: Topic.Config,
 		sink: configSink,
 		belief: resolver.resolve(Belief),
 		clock,
-		waitMs: () => isRelay(resolver) ? configLimits().relayWaitMs : configLimits().waitMs,
-		mostBytes: mostConfigBytes,
+		waitMs: () => isRelay(resolver) ? readConfigLimits().relayWaitMs : readConfigLimits().waitMs,
+		mostBytes: maxConfigBytes,
 		isNewestEnough: true,
 		gatherMs: 0,
-		carriedMs: () => isLeaf(resolver) ? configLimits().carriedMs : 0,
+		carriedMs: () => isLeaf(resolver) ? readConfigLimits().carriedMs : 0,
 	}));
-	register(BackendsFollower, resolver => new BackendsFollower({
+	registerFactory(BackendsFollower, resolver => new BackendsFollower({
 		store,
 		topic: Topic.Backends,
 		sink: backendsSink,
 		belief: new Belief(),
 		clock,
-		waitMs: () => isRelay(resolver) ? backendsLimits().relayWaitMs : backendsLimits().waitMs,
-		mostBytes: mostBackendsBytes,
+		waitMs: () => isRelay(resolver) ? readBackendsLimits().relayWaitMs : readBackendsLimits().waitMs,
+		mostBytes: maxBackendsBytes,
 		isNewestEnough: false,
-		gatherMs: backendsGatherMs,
-		carriedMs: () => isLeaf(resolver) ? backendsLimits().carriedMs : 0,
+		gatherMs: backendsBatchDelayMs,
+		carriedMs: () => isLeaf(resolver) ? readBackendsLimits().carriedMs : 0,
 	}));
-	register(BoundsRecord, resolver => new BoundsRecord({
+	registerFactory(BoundsRecord, resolver => new BoundsRecord({
 		store, quota: resolver.resolve(QuotaLedger), lease: resolver.resolve(DutyLease), clock, roundMs,
 	}));
-	register(FleetMessenger, resolver => new FleetMessenger({
+	registerFactory(FleetMessenger, resolver => new FleetMessenger({
 		settings,
 		incarnation,
 		store,
@@ -186,7 +186,7 @@
 		clock,
 		startedAtMs,
 	}));
-	register(DutyRunner, resolver => new DutyRunner({
+	registerFactory(DutyRunner, resolver => new DutyRunner({
 		cloud,
 		lease: resolver.resolve(DutyLease),
 		usage: resolver.resolve(UsageLedger),
@@ -198,15 +198,15 @@
 		list: nowMs => ({followedForMs: resolver.resolve(BackendsFollower).followedForMs(nowMs), unchangedForMs: nowMs - backendsSink.grownAtMs}),
 		need: service => resolver.resolve(PoolDemands).need(service.name, clock.now()),
 	}));
-	register(Forwarder, resolver => new Forwarder({
+	registerFactory(Forwarder, resolver => new Forwarder({
 		dialect,
 		routes: resolver.resolve(RouteTable),
 		belief: resolver.resolve(Belief),
 		get mostBeliefMs() {
-			return bounds.revokeMs * beliefShare;
+			return bounds.revokeMs * maxViewAgeShare;
 		},
 		get mostDenialMs() {
-			return Math.min(bounds.configApplyMs, bounds.revokeMs * beliefShare);
+			return Math.min(bounds.configApplyMs, bounds.revokeMs * maxViewAgeShare);
 		},
 		dispatcher: resolver.resolve(Dispatcher),
 		registry: resolver.resolve(StreamRegistry),
@@ -219,5 +219,5 @@
 		firstView: resolver.resolve(Gate),
 		metrics: resolver.resolve(DeferredMetrics),
 	}));
-	return child;
+	return frontContainer;
 }
--- a/src/cli/front-daemon.ts
+++ b/src/cli/front-daemon.ts
@@ -1,4 +1,4 @@
-/** One serving daemon: its ports, the tasks that keep its views, and its stop. */
+/** The serving daemon: opens its ports, runs its periodic tasks, and stops gracefully. */
 import {setMaxListeners} from 'node:events';
 import {setTimeout as delay} from 'node:timers/promises';
 import {type DependencyContainer} from 'tsyringe';
@@ -34,33 +34,34 @@
 
 const log = createLogger('front');
 
-/** Share of the revocation bound beyond which the daemon says it is not ready. */
-const readyShare = 0.7;
-/** Pause between rounds of the duties, in milliseconds. */
-const dutyMs = 250;
-/** How often the settings are read again for a change without a signal, in milliseconds: one read takes less than a millisecond. */
-const settingsMs = 5000;
-/** Pause between steps of the election, in milliseconds. */
-const leaseStepMs = 100;
-/** Backend servers that vanished are forgotten after this, in milliseconds. */
-const forgetMs = 60_000;
+/** Largest age of the configuration view at which the daemon reports ready, as a share of the revocation bound. */
+const maxReadyViewAgeShare = 0.7;
+/** Interval between rounds of the singleton duties, in milliseconds. */
+const dutyIntervalMs = 250;
+/** Interval at which the settings file is checked for changes without a signal, in milliseconds; one read takes less than a millisecond. */
+const settingsCheckIntervalMs = 5000;
+/** Interval between steps of the election of the duty holder, in milliseconds. */
+const leaseStepIntervalMs = 100;
+/** Time after which backend servers that are no longer listed are removed from the table, in milliseconds. */
+const removedBackendRetentionMs = 60_000;
 
-/** A task that is repeated until the daemon stops. */
-type RepeatedTask = {
-	pauseMs: () => number;
+/** A task that runs repeatedly until the daemon stops. */
+type PeriodicTask = {
+	/** Pause between the end of one run and the next, in milliseconds. */
+	intervalMs: () => number;
 	step: () => Promise<void> | void;
 };
 
-/** One start of a serving daemon. */
+/** A serving daemon from its start to its stop. */
 export class FrontDaemon {
-	private readonly parts: DependencyContainer;
+	private readonly container: DependencyContainer;
 	private readonly clock: SteadyClock;
 	private readonly startedAtMs: number;
-	private readonly callers: FrontServer;
+	private readonly server: FrontServer;
 	private backendsSink: BackendsSink | undefined;
 	private isStopping = false;
-	/** Changed settings that need a restart, as last logged. */
-	private needRestart = '';
+	/** Names of the changed settings that need a restart, as of the last reload. */
+	private lastNeedRestart = '';
 
 	constructor(
 		private readonly platform: Platform,
@@ -68,24 +69,24 @@
 		private readonly signal: AbortSignal,
 	) {
 		setMaxListeners(0, signal);
-		this.parts = createFrontContainer({
+		this.container = createFrontContainer({
 			platform, incarnation, signal, createSinks: resolver => this.createSinks(resolver),
 		});
-		this.clock = this.parts.resolve(SteadyClock);
+		this.clock = this.container.resolve(SteadyClock);
 		this.startedAtMs = this.clock.now();
-		const forwarder = this.parts.resolve(Forwarder);
-		this.callers = new FrontServer(async request => forwarder.handle(request));
+		const forwarder = this.container.resolve(Forwarder);
+		this.server = new FrontServer(async request => forwarder.handle(request));
 	}
 
-	/** Whether new connections should come here. */
+	/** Whether the load balancer should send new connections to this daemon. */
 	get isReady(): boolean {
-		const viewAgeMs = this.parts.resolve(Belief).ageMs(this.clock.now());
-		return !this.isStopping && this.isKnown && viewAgeMs <= this.platform.settings.bounds.revokeMs * readyShare;
+		const viewAgeMs = this.container.resolve(Belief).ageMs(this.clock.now());
+		return !this.isStopping && this.isLoaded && viewAgeMs <= this.platform.settings.bounds.revokeMs * maxReadyViewAgeShare;
 	}
 
-	/** Requests that were read and not yet answered. */
+	/** Number of requests whose response has not ended yet. */
 	get openRequests(): number {
-		return this.callers.openRequests;
+		return this.server.openRequests;
 	}
 
 	/**
@@ -94,87 +95,88 @@
 	 * @throws {TransportError} When an address cannot be bound.
 	 */
 	async start(): Promise<void> {
-		await this.openPeers();
-		await this.callers.listen(this.platform.settings.callers);
-		void this.parts.resolve(ConfigFollower).run(this.signal);
-		void this.parts.resolve(BackendsFollower).run(this.signal);
-		for (const [name, task] of Object.entries(this.repeatedTasks())) {
-			void this.repeat(name, task);
+		await this.openPeerLink();
+		await this.server.listen(this.platform.settings.callers);
+		void this.container.resolve(ConfigFollower).run(this.signal);
+		void this.container.resolve(BackendsFollower).run(this.signal);
+		for (const [name, task] of Object.entries(this.createPeriodicTasks())) {
+			void this.runPeriodically(name, task);
 		}
 	}
 
-	/** Counts requests with these metrics from now on. */
-	observe(metrics: RequestMetrics): void {
-		this.parts.resolve(DeferredMetrics).target = metrics;
+	/** Sets the metrics that count requests from now on. */
+	useMetrics(metrics: RequestMetrics): void {
+		this.container.resolve(DeferredMetrics).target = metrics;
 	}
 
-	/** Reads the settings again and takes what changed into force; without a signal, logs only changes. */
+	/** Reads the settings again and applies changed ones; without a signal, it logs only when the result differs from the last one. */
 	reload(isSignalled: boolean): void {
 		try {
-			const fresh = this.platform.readSettings();
-			const {changed, needRestart} = applySettings(this.platform.settings, fresh);
-			const isNews = Object.keys(changed).length > 0 || needRestart.join(',') !== this.needRestart;
-			this.needRestart = needRestart.join(',');
-			if (isSignalled || isNews) {
-				log.info('settings read again.', {isSignalled, changed: JSON.stringify(changed), needRestart: this.needRestart});
+			const newSettings = this.platform.readSettings();
+			const {changed, needRestart} = applySettings(this.platform.settings, newSettings);
+			const hasNewResult = Object.keys(changed).length > 0 || needRestart.join(',') !== this.lastNeedRestart;
+			this.lastNeedRestart = needRestart.join(',');
+			if (isSignalled || hasNewResult) {
+				log.info('settings read again.', {isSignalled, changed: JSON.stringify(changed), needRestart: this.lastNeedRestart});
 			}
 		} catch (error) {
-			log.error('settings unreadable, keeping the last ones.', {error: String(error)});
+			log.error('cannot read settings, keeping the last ones.', {error: String(error)});
 		}
 	}
 
-	/** Says that it is not ready; every answer from now on closes its connection. */
+	/** Reports the daemon as not ready to the load balancer and as stopping to its peers; every later response closes its connection. */
 	beginStop(): void {
 		this.isStopping = true;
-		this.parts.resolve(FleetMessenger).beginStop();
-		this.callers.beginStop();
+		this.container.resolve(FleetMessenger).beginStop();
+		this.server.beginStop();
 	}
 
-	/** Takes no new connections and requests. */
-	closeCallers(): void {
-		this.callers.close();
+	/** Stops accepting connections and requests. */
+	closeServer(): void {
+		this.server.close();
 	}
 
-	/** Closes every connection. */
-	destroyCallers(): void {
-		this.callers.destroy();
-		this.parts.resolve(BackendPool).destroy();
+	/** Closes all connections of clients and to backend servers. */
+	destroyConnections(): void {
+		this.server.destroy();
+		this.container.resolve(BackendPool).destroy();
 	}
 
-	/** How current the views of the store's topics are. */
+	/** State and age of the views of the store's topics. */
 	get views(): Record<ToldTopic, ViewState> {
 		const nowMs = this.clock.now();
-		return {[Topic.Config]: this.parts.resolve(ConfigFollower).stateAt(nowMs), [Topic.Backends]: this.parts.resolve(BackendsFollower).stateAt(nowMs)};
+		return {[Topic.Config]: this.container.resolve(ConfigFollower).stateAt(nowMs), [Topic.Backends]: this.container.resolve(BackendsFollower).stateAt(nowMs)};
 	}
 
-	/** The state of the daemon for a dump. */
+	/** Returns the state of the daemon for `/debug/state`. */
 	dump(): unknown {
 		const nowMs = this.clock.now();
-		const registry = this.parts.resolve(StreamRegistry);
+		const registry = this.container.resolve(StreamRegistry);
 		return {
 			incarnation: this.incarnation,
 			isReady: this.isReady,
 			views: this.views,
-			routes: this.parts.resolve(RouteTable).toJson(),
-			backends: this.parts.resolve(BackendTable).toJson(),
-			fleet: this.parts.resolve(FleetTable).toJson(nowMs),
-			holder: this.parts.resolve(DutyLease).news(nowMs),
-			inFlight: this.parts.resolve(Placement).inFlight(),
+			routes: this.container.resolve(RouteTable).toJson(),
+			backends: this.container.resolve(BackendTable).toJson(),
+			fleet: this.container.resolve(FleetTable).toJson(nowMs),
+			holder: this.container.resolve(DutyLease).news(nowMs),
+			inFlight: this.container.resolve(Placement).inFlight(),
 			streams: {running: registry.size, moved: registry.moved},
-			connections: this.callers.openConnections,
-			limits: Object.fromEntries(this.parts.resolve(QuotaLedger).own()),
-			quarantine: this.parts.resolve(Quarantine).toJson(nowMs),
-			statedLimits: this.parts.resolve(StatedLimits).toJson(nowMs),
+			connections: this.server.openConnections,
+			limits: Object.fromEntries(this.container.resolve(QuotaLedger).own()),
+			quarantine: this.container.resolve(Quarantine).toJson(nowMs),
+			statedLimits: this.container.resolve(StatedLimits).toJson(nowMs),
 		};
 	}
 
-	private get isKnown(): boolean {
-		return this.parts.resolve(RouteTable).current !== undefined && this.backendsSink?.isKnown === true;
+	/** Whether the configuration and a full list of backend servers have been read. */
+	private get isLoaded(): boolean {
+		return this.container.resolve(RouteTable).current !== undefined && this.backendsSink?.isKnown === true;
 	}
 
-	private async openPeers(): Promise<void> {
+	private async openPeerLink(): Promise<void> {
 		const {host, peerPort} = this.platform.settings;
-		const messenger = this.parts.resolve(FleetMessenger);
+		const messenger = this.container.resolve(FleetMessenger);
 		messenger.open(await DatagramLink.open({host, port: peerPort}, message => {
 			messenger.hear(message);
 		}, this.signal));
@@ -184,48 +186,48 @@
 		const {records} = this.platform;
 		const routes = resolver.resolve(RouteTable);
 		const configSink = new ConfigSink(records, routes, () => {
-			this.callers.setLimits(routes.current!.limits);
+			this.server.setLimits(routes.current!.limits);
 			resolver.resolve(QuotaLedger).noteLimits(routes.current!.accounts, this.clock.now());
-			this.openWhenKnown();
+			this.admitRequestsOnceLoaded();
 		});
 		this.backendsSink = new BackendsSink(records, resolver.resolve(BackendTable), () => {
-			this.openWhenKnown();
+			this.admitRequestsOnceLoaded();
 		});
 		return {configSink, backendsSink: this.backendsSink};
 	}
 
-	private repeatedTasks(): Record<string, RepeatedTask> {
-		const messenger = this.parts.resolve(FleetMessenger);
-		const bounds = this.parts.resolve(BoundsRecord);
-		const quarantine = this.parts.resolve(QuarantineRecord);
-		const duties = this.parts.resolve(DutyRunner);
-		const registry = this.parts.resolve(StreamRegistry);
+	private createPeriodicTasks(): Record<string, PeriodicTask> {
+		const messenger = this.container.resolve(FleetMessenger);
+		const bounds = this.container.resolve(BoundsRecord);
+		const quarantine = this.container.resolve(QuarantineRecord);
+		const duties = this.container.resolve(DutyRunner);
+		const registry = this.container.resolve(StreamRegistry);
 		return {
 			reports: {
-				pauseMs: () => roundMs,
+				intervalMs: () => roundMs,
 				step() {
 					messenger.report();
 				},
 			},
 			discovery: {
-				pauseMs: () => messenger.discoverPauseMs,
+				intervalMs: () => messenger.discoverPauseMs,
 				step: async () => {
-					this.forget();
+					this.removeOldBackends();
 					await messenger.discover(this.signal);
 				},
 			},
-			limits: {pauseMs: () => checkMs, step: async () => bounds.save(this.signal)},
-			quarantine: {pauseMs: () => quarantineCheckMs, step: async () => quarantine.save(this.signal)},
-			lease: {pauseMs: () => leaseStepMs, step: async () => this.stepLease()},
-			duties: {pauseMs: () => dutyMs, step: async () => duties.step(this.signal)},
+			limits: {intervalMs: () => checkMs, step: async () => bounds.save(this.signal)},
+			quarantine: {intervalMs: () => quarantineCheckMs, step: async () => quarantine.save(this.signal)},
+			lease: {intervalMs: () => leaseStepIntervalMs, step: async () => this.stepLease()},
+			duties: {intervalMs: () => dutyIntervalMs, step: async () => duties.step(this.signal)},
 			settings: {
-				pauseMs: () => settingsMs,
+				intervalMs: () => settingsCheckIntervalMs,
 				step: () => {
 					this.reload(false);
 				},
 			},
 			sweep: {
-				pauseMs: () => sweepMs,
+				intervalMs: () => sweepMs,
 				step: () => {
 					registry.sweep(this.clock.now());
 				},
@@ -233,44 +235,44 @@
 		};
 	}
 
-	/** Repeats a step until the daemon stops; a step that fails is logged and tried again. */
-	private async repeat(name: string, {pauseMs, step}: RepeatedTask): Promise<void> {
+	/** Repeats a step until the daemon stops; a failed step is logged and tried again at the next interval. */
+	private async runPeriodically(name: string, {intervalMs, step}: PeriodicTask): Promise<void> {
 		while (!this.signal.aborted) {
 			try {
-				// eslint-disable-next-line no-await-in-loop -- one step after the other.
+				// eslint-disable-next-line no-await-in-loop -- steps are sequential.
 				await step();
 			} catch (error) {
 				if (!this.signal.aborted) {
-					log.warn('step failed.', {task: name, error: String(error), cause: error instanceof Error ? String(error.cause) : ''});
+					log.warn('periodic task failed, trying again.', {task: name, error: String(error), cause: error instanceof Error ? String(error.cause) : ''});
 				}
 			}
 
 			// eslint-disable-next-line no-await-in-loop
-			await delay(pauseMs(), undefined, {signal: this.signal}).catch(() => undefined);
+			await delay(intervalMs(), undefined, {signal: this.signal}).catch(() => undefined);
 		}
 	}
 
-	/** Lets the requests in that came before anything was known. */
-	private openWhenKnown(): void {
-		if (this.isKnown) {
-			this.parts.resolve(Gate).open();
+	/** Releases the requests that wait for the first view of the configuration and the backend servers. */
+	private admitRequestsOnceLoaded(): void {
+		if (this.isLoaded) {
+			this.container.resolve(Gate).open();
 		}
 	}
 
-	/** Forgets backend servers that are gone. */
-	private forget(): void {
-		const backends = this.parts.resolve(BackendTable);
-		backends.prune(forgetMs, this.clock.now());
-		this.parts.resolve(Placement).retain(new Set(backends.listed().map(entry => entry.backend.id)));
+	/** Removes backend servers that have not been listed for a while, and their placement state. */
+	private removeOldBackends(): void {
+		const backends = this.container.resolve(BackendTable);
+		backends.prune(removedBackendRetentionMs, this.clock.now());
+		this.container.resolve(Placement).retain(new Set(backends.listed().map(entry => entry.backend.id)));
 	}
 
 	private async stepLease(): Promise<void> {
-		if (!this.isKnown || this.isStopping) {
+		if (!this.isLoaded || this.isStopping) {
 			return;
 		}
 
 		const nowMs = this.clock.now();
-		const fleet = this.parts.resolve(FleetTable);
-		await this.parts.resolve(DutyLease).step({rank: fleet.rank(nowMs), hearsMost: fleet.hearsMost(nowMs), startedAtMs: this.startedAtMs}, this.signal);
+		const fleet = this.container.resolve(FleetTable);
+		await this.container.resolve(DutyLease).step({rank: fleet.rank(nowMs), hearsMost: fleet.hearsMost(nowMs), startedAtMs: this.startedAtMs}, this.signal);
 	}
 }
--- a/src/cli/container.ts
+++ b/src/cli/gateway-container.ts
@@ -1,8 +1,8 @@
 /**
- * Wiring of a gateway's parts with `tsyringe`: each part is registered once per
- * process under its class or a token, and built on first use from the settings.
+ * Dependency injection for a gateway, based on `tsyringe`. Each component is registered
+ * under its class or a token, and created once, on first use, from the settings.
  */
-// The decorator metadata polyfill that tsyringe needs loaded once, before any container use.
+// Tsyringe requires this metadata polyfill before any use of a container.
 import 'reflect-metadata'; // eslint-disable-line import-x/no-unassigned-import
 import {container, type DependencyContainer, instanceCachingFactory} from 'tsyringe';
 import {type GatewaySettings} from '../protocol/gateway-settings.js';
@@ -21,28 +21,28 @@
 import {Journal} from '../coordination/journal.js';
 import {JournalTable, defaultJournalKeptMs} from '../state/journal-table.js';
 
-/** The token of the gateway's settings. */
+/** The injection token of the gateway's settings. */
 export const gatewaySettingsToken = Symbol('GatewaySettings');
 
-/** Builds the container of one gateway. */
+/** Creates the dependency injection container of one gateway. */
 export function createGatewayContainer(settings: GatewaySettings): DependencyContainer {
-	const child = container.createChildContainer();
-	child.registerInstance(gatewaySettingsToken, settings);
-	child.register(ConfigTable, {useFactory: instanceCachingFactory(() => new ConfigTable())});
-	child.register(PlatformLog, {useFactory: instanceCachingFactory(() => new PlatformLog(settings.platformLog.url, settings.id))});
-	child.register(Limits, {useFactory: instanceCachingFactory(() => new Limits())});
-	child.register(Membership, {useFactory: instanceCachingFactory(() => new Membership(settings.heartbeatMs))});
-	child.register(JournalTable, {useFactory: instanceCachingFactory(() => new JournalTable(settings.id, Math.min(defaultJournalKeptMs, settings.platformLog.retentionMs)))});
-	child.register(Journal, {
+	const gatewayContainer = container.createChildContainer();
+	gatewayContainer.registerInstance(gatewaySettingsToken, settings);
+	gatewayContainer.register(ConfigTable, {useFactory: instanceCachingFactory(() => new ConfigTable())});
+	gatewayContainer.register(PlatformLog, {useFactory: instanceCachingFactory(() => new PlatformLog(settings.platformLog.url, settings.id))});
+	gatewayContainer.register(Limits, {useFactory: instanceCachingFactory(() => new Limits())});
+	gatewayContainer.register(Membership, {useFactory: instanceCachingFactory(() => new Membership(settings.heartbeatMs))});
+	gatewayContainer.register(JournalTable, {useFactory: instanceCachingFactory(() => new JournalTable(settings.id, Math.min(defaultJournalKeptMs, settings.platformLog.retentionMs)))});
+	gatewayContainer.register(Journal, {
 		useFactory: instanceCachingFactory(resolver => new Journal(resolver.resolve(PlatformLog), resolver.resolve(JournalTable), settings.id, settings.journalFlushMs)),
 	});
-	child.register(LeaseTable, {useFactory: instanceCachingFactory(() => new LeaseTable())});
-	child.register(LeaseKeeper, {
+	gatewayContainer.register(LeaseTable, {useFactory: instanceCachingFactory(() => new LeaseTable())});
+	gatewayContainer.register(LeaseKeeper, {
 		useFactory: instanceCachingFactory(resolver => new LeaseKeeper({
 			platformLog: resolver.resolve(PlatformLog), table: resolver.resolve(LeaseTable), holder: settings.id, leaseMs: settings.controller.leaseMs,
 		}, readClocks())),
 	});
-	child.register(FleetController, {
+	gatewayContainer.register(FleetController, {
 		useFactory: instanceCachingFactory(resolver => new FleetController({
 			lease: resolver.resolve(LeaseKeeper),
 			config: resolver.resolve(ConfigTable),
@@ -54,15 +54,15 @@
 			silentMs: settings.controller.silentMs,
 		})),
 	});
-	child.register(BackendDirectory, {
+	gatewayContainer.register(BackendDirectory, {
 		useFactory: instanceCachingFactory(resolver => {
 			const config = resolver.resolve(ConfigTable);
 			return new BackendDirectory(settings.backendServers, () => config.drained);
 		}),
 	});
-	child.register(LoadTracker, {useFactory: instanceCachingFactory(resolver => new LoadTracker(resolver.resolve(BackendDirectory), settings.loadPollMs))});
-	child.register(ServiceCalls, {useFactory: instanceCachingFactory(resolver => new ServiceCalls(resolver.resolve(BackendDirectory), resolver.resolve(Journal)))});
-	child.register(Completions, {
+	gatewayContainer.register(LoadTracker, {useFactory: instanceCachingFactory(resolver => new LoadTracker(resolver.resolve(BackendDirectory), settings.loadPollMs))});
+	gatewayContainer.register(ServiceCalls, {useFactory: instanceCachingFactory(resolver => new ServiceCalls(resolver.resolve(BackendDirectory), resolver.resolve(Journal)))});
+	gatewayContainer.register(Completions, {
 		useFactory: instanceCachingFactory(resolver => {
 			const config = resolver.resolve(ConfigTable);
 			return new Completions({
@@ -72,5 +72,5 @@
 			});
 		}),
 	});
-	return child;
+	return gatewayContainer;
 }
--- a/src/cli/gateway-state.ts
+++ b/src/cli/gateway-state.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway tells of itself: its status for operators, its whole state as a dump on
- * request, and the figures it exposes as metrics.
+ * The observable state of a gateway: its status for operators, the state dump, and its
+ * metrics.
  */
 import {type DependencyContainer} from 'tsyringe';
 import {Gauge, type Registry} from 'prom-client';
@@ -19,47 +19,47 @@
 import {type PeerTraffic} from '../transport/peer-link.js';
 import {readClocks} from '../clock.js';
 
-type Figure = {name: string; help: string; read: () => number};
+type GaugeDefinition = {name: string; help: string; read: () => number};
 
-/** The state of one gateway, read from its parts. */
+/** Reads the state of one gateway from its components. */
 export class GatewayState {
 	constructor(
 		private readonly settings: GatewaySettings,
-		private readonly services: DependencyContainer,
+		private readonly container: DependencyContainer,
 		private readonly traffic: PeerTraffic,
 	) {}
 
-	/** What `admin status` shows. */
+	/** Returns the status that `admin status` prints. */
 	status(nowMs: number): Record<string, unknown> {
 		return {
 			id: this.settings.id,
 			failureDomain: this.settings.failureDomain,
-			config: this.services.resolve(ConfigTable).toJson(),
-			peers: this.services.resolve(Membership).list(nowMs),
+			config: this.container.resolve(ConfigTable).toJson(),
+			peers: this.container.resolve(Membership).list(nowMs),
 		};
 	}
 
-	/** The whole state, for a dump on request. */
+	/** Returns the full state for `/debug/state`. */
 	dump(nowMs: number): Record<string, unknown> {
-		const {services} = this;
-		const journal = services.resolve(Journal);
+		const {container} = this;
+		const journal = container.resolve(Journal);
 		return {
 			...this.status(nowMs),
-			loads: Object.fromEntries(services.resolve(LoadTracker).views),
-			limits: services.resolve(Limits).toJson(),
+			loads: Object.fromEntries(container.resolve(LoadTracker).views),
+			limits: container.resolve(Limits).toJson(),
 			peerTraffic: this.traffic,
-			completions: services.resolve(Completions).toJson(),
-			backendServers: services.resolve(BackendDirectory).toJson(),
-			lease: services.resolve(LeaseKeeper).toJson(readClocks()),
-			controller: services.resolve(FleetController).toJson(),
-			platformLogAppends: services.resolve(PlatformLog).appends,
-			journal: {...services.resolve(JournalTable).toJson(), batches: journal.batches},
+			completions: container.resolve(Completions).toJson(),
+			backendServers: container.resolve(BackendDirectory).toJson(),
+			lease: container.resolve(LeaseKeeper).toJson(readClocks()),
+			controller: container.resolve(FleetController).toJson(),
+			platformLogAppends: container.resolve(PlatformLog).appends,
+			journal: {...container.resolve(JournalTable).toJson(), batches: journal.batches},
 		};
 	}
 
-	/** Registers a gauge for each figure, read when the metrics are asked. */
+	/** Registers the gauges, whose values are read at each request for the metrics. */
 	addMetrics(registry: Registry): void {
-		for (const {name, help, read} of this.figures()) {
+		for (const {name, help, read} of this.gaugeDefinitions()) {
 			const gauge = new Gauge({
 				name: `sesametally_${name}`,
 				help,
@@ -72,15 +72,15 @@
 		}
 	}
 
-	private figures(): Figure[] {
-		const completions = this.services.resolve(Completions);
-		const config = this.services.resolve(ConfigTable);
-		const directory = this.services.resolve(BackendDirectory);
-		const {counters} = this.services.resolve(FleetController);
-		const lease = this.services.resolve(LeaseKeeper);
-		const journalTable = this.services.resolve(JournalTable);
-		const membership = this.services.resolve(Membership);
-		const platformLog = this.services.resolve(PlatformLog);
+	private gaugeDefinitions(): GaugeDefinition[] {
+		const completions = this.container.resolve(Completions);
+		const config = this.container.resolve(ConfigTable);
+		const directory = this.container.resolve(BackendDirectory);
+		const {counters} = this.container.resolve(FleetController);
+		const lease = this.container.resolve(LeaseKeeper);
+		const journalTable = this.container.resolve(JournalTable);
+		const membership = this.container.resolve(Membership);
+		const platformLog = this.container.resolve(PlatformLog);
 		return [
 			{name: 'requests_in_flight', help: 'Completions being served.', read: () => completions.inFlight},
 			{name: 'recomputed_tokens', help: 'Tokens computed again because a stream went on elsewhere.', read: () => completions.recomputedTokens},
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,9 +1,9 @@
 /**
- * The command line of the single binary: `gateway`, `front`, `standin`, `admin` and `bench`.
- * Each subcommand only wires its arguments to the module that does the work, and loads it
- * when it runs: a restarted daemon took 0.5 s of processor time to load them all.
+ * The command line of the binary: `gateway`, `front`, `standin`, `admin` and `bench`. Each
+ * subcommand loads its module only when it runs, since loading all of them takes 0.5 s of
+ * CPU time, which would delay a restarted daemon.
  */
-// Must stay the first import: it sets up roarr's environment before any logger exists.
+// Must stay the first import: it sets the environment variable that roarr reads when the first logger is created.
 import './log-environment.js'; // eslint-disable-line import-x/no-unassigned-import, import-x/order
 import process from 'node:process';
 import {
@@ -13,8 +13,8 @@
 import {SesametallyError} from '../errors.js';
 import {AdminAction, StandinPart} from './subcommands.js';
 
-/** Aborts on SIGTERM or SIGINT, so that a process stops gracefully. */
-function stopSignal(): AbortSignal {
+/** Creates a signal that aborts on SIGTERM or SIGINT, for a graceful stop. */
+function createStopSignal(): AbortSignal {
 	const controller = new AbortController();
 	for (const name of ['SIGTERM', 'SIGINT'] as const) {
 		process.once(name, () => {
@@ -25,9 +25,9 @@
 	return controller.signal;
 }
 
-/** Runs a long-lived role and turns its errors into an exit code with a message. */
+/** Runs a long-running task until it ends or the process is told to stop; on an error, prints the message and sets exit code 2. */
 async function runRole(task: (signal: AbortSignal) => Promise<void>): Promise<void> {
-	const signal = stopSignal();
+	const signal = createStopSignal();
 	try {
 		await task(signal);
 		process.exitCode = 0;
@@ -44,7 +44,7 @@
 
 const gateway = command({
 	name: 'gateway',
-	description: 'Run a gateway: serves callers, follows config, peers with other gateways.',
+	description: 'Run a gateway, which serves callers, follows the configuration and exchanges heartbeats with other gateways.',
 	args: {config},
 	handler: async ({config: file}) => runRole(async signal => {
 		const {runGateway} = await import('./commands/gateway.js');
@@ -54,7 +54,7 @@
 
 const front = command({
 	name: 'front',
-	description: 'Run a serving daemon on the users\' platform, with the settings file that the platform wrote.',
+	description: 'Run a serving daemon on the platform, with the settings file that the platform provides.',
 	args: {},
 	async handler() {
 		logToStandardOutput(process.env);
@@ -68,7 +68,7 @@
 
 const standins = subcommands({
 	name: 'standin',
-	description: 'Run a stand-in of the platform.',
+	description: 'Run a stand-in for a service of the platform.',
 	cmds: Object.fromEntries(Object.values(StandinPart).map(part => [part, command({
 		name: part,
 		description: `Run the ${part} stand-in.`,
@@ -85,10 +85,10 @@
 	token: option({
 		long: 'token', type: optional(string), env: 'SESAMETALLY_TOKEN', description: 'team bearer token',
 	}),
-	base: option({long: 'base', type: optional(number), description: 'config version the change is based on (default: the gateway\'s)'}),
+	base: option({long: 'base', type: optional(number), description: 'config version that the change is based on (default: the gateway\'s version)'}),
 };
 
-const adminTargets: Record<AdminAction, string | undefined> = {
+const adminTargetDescriptions: Record<AdminAction, string | undefined> = {
 	[AdminAction.Publish]: 'preset JSON file',
 	[AdminAction.Activate]: 'preset name',
 	[AdminAction.Drain]: 'backend server id',
@@ -101,11 +101,11 @@
 	name: 'admin',
 	description: 'Operate the fleet through a gateway\'s administration API.',
 	cmds: Object.fromEntries(Object.values(AdminAction).map(action => {
-		const what = adminTargets[action];
+		const targetDescription = adminTargetDescriptions[action];
 		return [action, command({
 			name: action,
-			description: `${action}${what === undefined ? '' : ` a ${what}`}`,
-			args: {...adminArgs, target: positional({type: what === undefined ? optional(string) : string, displayName: what ?? 'unused'})},
+			description: `${action}${targetDescription === undefined ? '' : ` a ${targetDescription}`}`,
+			args: {...adminArgs, target: positional({type: targetDescription === undefined ? optional(string) : string, displayName: targetDescription ?? 'unused'})},
 			async handler(options) {
 				try {
 					const {runAdmin} = await import('./commands/admin.js');
@@ -143,7 +143,7 @@
 	},
 });
 
-// A reload signal that comes before a role listens for it must not end the process.
+// A SIGHUP that arrives before a command listens for it must not end the process.
 process.on('SIGHUP', () => undefined);
 logToStandardError(process.env);
 void run(cli, process.argv.slice(2));
--- a/src/cli/log-environment.ts
+++ b/src/cli/log-environment.ts
@@ -1,7 +1,6 @@
 /**
- * Turns roarr on before any logger is created: roarr reads `ROARR_LOG` once, when
- * its root logger is made at import time, so this module is imported first.
- * `SESAMETALLY_LOG=off` keeps logs off.
+ * Enables roarr before any logger is created. Roarr reads `ROARR_LOG` once, when it is
+ * imported, so this module must be imported first. `SESAMETALLY_LOG=off` disables logs.
  */
 import process from 'node:process';
 
--- a/src/cli/subcommands.ts
+++ b/src/cli/subcommands.ts
@@ -1,6 +1,6 @@
-/** Names of the subcommands' variants, apart from the code that runs them, so that the command line loads only what it runs. */
+/** The stand-ins and admin actions of the command line, separate from the code that runs them, so that the command line loads only what it runs. */
 
-/** The stand-ins that `sesametally standin` can run. */
+/** The stand-ins of `sesametally standin`. */
 export enum StandinPart {
 	Log = 'log',
 	Engine = 'engine',
--- a/src/transport/diagnostics-server.ts
+++ b/src/transport/diagnostics-server.ts
@@ -14,20 +14,20 @@
 /** Serves the metrics and state of a process. */
 export class DiagnosticsServer {
 	/**
-	 * Starts to listen.
+	 * Opens the port.
 	 *
 	 * @throws {TransportError} When the address cannot be bound.
 	 */
 	static async open(address: Listen, registry: Registry, readState: StateReader): Promise<DiagnosticsServer> {
 		const listener = createServer();
-		const diagnosticsServer = new DiagnosticsServer(listener, registry, readState);
+		const server = new DiagnosticsServer(listener, registry, readState);
 		await new Promise<void>((resolve, reject) => {
 			listener.once('error', error => {
 				reject(new TransportError(`cannot listen on ${address.host}:${address.port}`, {cause: error}));
 			});
 			listener.listen(address.port, address.host, resolve);
 		});
-		return diagnosticsServer;
+		return server;
 	}
 
 	private constructor(
@@ -36,18 +36,18 @@
 		private readonly readState: StateReader,
 	) {
 		listener.once('request', (request, response) => {
-			void this.loadAndServe(request, response);
+			void this.serve(request, response);
 		});
 	}
 
-	/** Closes the port and all its connections. */
+	/** Closes the port and its connections. */
 	close(): void {
 		this.listener.close();
 		this.listener.closeAllConnections();
 	}
 
 	/** Loads the HTTP library, and passes it the port and the requests that arrived meanwhile. */
-	private async loadAndServe(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const pendingExchanges: Array<[IncomingMessage, ServerResponse]> = [[request, response]];
 		const enqueue = (...exchange: [IncomingMessage, ServerResponse]) => {
 			pendingExchanges.push(exchange);
