--- a/src/cli/__tests__/local-stack.test.ts
+++ b/src/cli/__tests__/local-stack.test.ts
@@ -58,11 +58,11 @@
 	])('streams a complete and exact response: $name', async ({path, prompt, maxTokens}) => {
 		const messages = [{role: 'user', content: 'When does the gate open?'}];
 		const payload = prompt === undefined ? {model: 'desk', messages, max_tokens: maxTokens} : {model: 'desk', prompt, max_tokens: maxTokens};
-		const answer = await streamText(stack.gateways[0].url, path, payload);
-		expect(answer.status).toBe(200);
-		expect(answer.done).toBe(true);
-		expect(answer.seqs).toEqual([...Array.from({length: maxTokens}).keys()]);
-		expect(answer.text).toBe(completionText(prompt ?? chatPrompt(messages), maxTokens));
+		const response = await streamText(stack.gateways[0].url, path, payload);
+		expect(response.status).toBe(200);
+		expect(response.done).toBe(true);
+		expect(response.seqs).toEqual([...Array.from({length: maxTokens}).keys()]);
+		expect(response.text).toBe(completionText(prompt ?? chatPrompt(messages), maxTokens));
 	});
 
 	it.each([
@@ -72,13 +72,13 @@
 		{
 			name: 'unknown model', key: apiKey, model: 'nope', status: 404, code: 'model_not_found',
 		},
-	])('refuses a request that cannot run: $name', async ({key, model, status, code}) => {
-		const answer = await requestJson<{error: {code: string}}>({
+	])('refuses an invalid request before it runs: $name', async ({key, model, status, code}) => {
+		const response = await requestJson<{error: {code: string}}>({
 			method: 'POST', url: `${stack.gateways[1].url}/v1/completions`, payload: {model, prompt: 'x'}, headers: {authorization: `Bearer ${key}`},
 		});
-		expect(answer.statusCode).toBe(status);
-		expect(answer.body.error.code).toBe(code);
-		expect(answer.headers['x-sesametally-outcome']).toBe('not-run');
+		expect(response.statusCode).toBe(status);
+		expect(response.body.error.code).toBe(code);
+		expect(response.headers['x-sesametally-outcome']).toBe('not-run');
 	});
 
 	it('applies a published and activated preset on all three gateways', async () => {
@@ -111,10 +111,10 @@
 			const state = await requestJson<{state: {config: {presets: string[]}}}>({method: 'GET', url: `${stack.gateways[1].adminUrl}/debug/state`});
 			return state.body.state.config.presets.includes('peak');
 		});
-		const answer = await requestJson({
+		const response = await requestJson({
 			method: 'POST', url: `${stack.gateways[1].adminUrl}/admin/presets`, payload: {preset}, headers,
 		});
-		expect(answer.statusCode).toBe(status);
+		expect(response.statusCode).toBe(status);
 	});
 
 	it.each([
@@ -123,10 +123,10 @@
 		{name: 'a preset without limits', path: 'presets', payload: {preset: {name: 'bare'}}},
 		{name: 'no body', path: 'presets', payload: undefined},
 	])('refuses a malformed admin change: $name', async ({path, payload}) => {
-		const answer = await requestJson<{error: string}>({
+		const response = await requestJson<{error: string}>({
 			method: 'POST', url: `${stack.gateways[0].adminUrl}/admin/${path}`, payload, headers: {authorization: 'Bearer desk-ops-token-0001'},
 		});
-		expect(answer.statusCode).toBe(400);
+		expect(response.statusCode).toBe(400);
 	});
 
 	it.each([
--- a/src/cli/commands/admin.ts
+++ b/src/cli/commands/admin.ts
@@ -53,9 +53,9 @@
 			}
 		}
 	})();
-	const answer = await requestJson({
+	const response = await requestJson({
 		method: request.method, url: `${options.url}${request.path}`, payload: 'payload' in request ? request.payload : undefined, headers, timeoutMs: 30_000,
 	});
-	process.stdout.write(JSON.stringify(answer.body, undefined, 2) + '\n');
-	return answer.statusCode >= 200 && answer.statusCode < 300 ? 0 : 1;
+	process.stdout.write(JSON.stringify(response.body, undefined, 2) + '\n');
+	return response.statusCode >= 200 && response.statusCode < 300 ? 0 : 1;
 }
--- a/src/transport/__tests__/backend-pool.test.ts
+++ b/src/transport/__tests__/backend-pool.test.ts
@@ -38,10 +38,10 @@
 }
 
 async function readText(pool: BackendPool, backend: Backend, isRepeatable = true): Promise<string> {
-	const answer = await exchange(pool, {
+	const response = await exchange(pool, {
 		backend, method: 'GET', path: '/x', headers: ['Host', 'h'], body: undefined, isRepeatable, connectMs: 500, signal: AbortSignal.timeout(3000),
 	});
-	const body = await answer.read(1000);
+	const body = await response.read(1000);
 	return Buffer.from(body).toString();
 }
 
--- a/src/transport/engine-client.ts
+++ b/src/transport/engine-client.ts
@@ -75,8 +75,8 @@
  * @throws {TransportError} When `mayStillSend` returned false or the connection failed.
  */
 export async function sendOrder(engineUrl: string, order: EngineOrder, mayStillSend: () => boolean): Promise<number> {
-	const answer = await requestJson({
+	const response = await requestJson({
 		method: 'POST', url: `${engineUrl}/v1/orders`, payload: order, timeoutMs: controlTimeoutMs, mayStillSend,
 	});
-	return answer.statusCode;
+	return response.statusCode;
 }
--- a/src/transport/service-routes.ts
+++ b/src/transport/service-routes.ts
@@ -46,8 +46,8 @@
 				payload: request.payload ?? {},
 			};
 			try {
-				const answer = await context.services.call(call, context.signal);
-				return h.response(answer.body as Record<string, unknown>).code(answer.statusCode);
+				const response = await context.services.call(call, context.signal);
+				return h.response(response.body as Record<string, unknown>).code(response.statusCode);
 			} catch (error) {
 				return respondToError(h, call, error);
 			} finally {
