--- a/src/cli/__tests__/leaf-update-delay.test.ts
+++ b/src/cli/__tests__/leaf-update-delay.test.ts
@@ -110,6 +110,8 @@
 	};
 }
 
+// Relays that cannot read the store keep sending views whose age grows. A leaf that relied on
+// them for too long would apply a change later than its bound.
 describe('a leaf daemon whose relays cannot read the store', () => {
 	it.each([
 		{topic: Topic.Config, boundMs: 2000, changed: {configApplyMs: 2000}},
--- a/src/cli/__tests__/local-stack.test.ts
+++ b/src/cli/__tests__/local-stack.test.ts
@@ -143,7 +143,7 @@
 		expect(run('status').config.drained).toEqual(drained);
 	});
 
-	it('shows each gateway\'s applied offset through admin status', async () => {
+	it('lists the other gateways through admin status', async () => {
 		const stdout = execFileSync(process.execPath, ['dist/sesametally.cjs', 'admin', 'status', '--url', stack.gateways[0].adminUrl, '--token', 'desk-ops-token-0001'], {encoding: 'utf8'});
 		const status = JSON.parse(stdout) as {peers: Array<{id: string; appliedOffset: number}>};
 		expect(status.peers.map(peer => peer.id).toSorted()).toEqual(['gateway-1', 'gateway-2']);
--- a/src/transport/__tests__/backend-pool.test.ts
+++ b/src/transport/__tests__/backend-pool.test.ts
@@ -47,6 +47,8 @@
 
 const head = 'HTTP/1.1 200 OK\r\n';
 
+// Node.js reports the reset of a connection as the normal end of a body without a length, so
+// an incomplete body could be passed on as complete.
 describe('responses of backend servers', () => {
 	it.each([
 		{
@@ -122,6 +124,8 @@
 	});
 });
 
+// A reset of a reused connection leaves it unknown whether the request ran, so a request that
+// is not retryable fails.
 describe('a backend server that resets idle connections without notice', () => {
 	/** Starts a server that responds on new connections and on those idle for at most `maxIdleMs`, and resets the others. */
 	async function startResettingBackend(maxIdleMs: number): Promise<Backend> {
