--- a/soak/soak.ts
+++ b/soak/soak.ts
@@ -181,7 +181,7 @@
 				link.reset();
 			},
 		}),
-		...[ReplicaMode.Fail, ReplicaMode.Shed, ReplicaMode.Reset, ReplicaMode.Cut, ReplicaMode.Misplace].map(mode => () => setMode(mode)),
+		...[ReplicaMode.Fail, ReplicaMode.Shed, ReplicaMode.Reset, ReplicaMode.Cut, ReplicaMode.WrongRequestId].map(mode => () => setMode(mode)),
 		...[LinkMode.Delay, LinkMode.Silence, LinkMode.OneWay].map(mode => () => setLink(mode)),
 		...storeLinkFaults(cluster),
 	];
@@ -222,7 +222,7 @@
 /** Checks every guarantee against the requests that clients and replicas recorded. */
 function createReport({seed, faults, cluster, records, recoveredAtMs}: {seed: number; faults: string[]; cluster: SoakCluster; records: RequestRecord[]; recoveredAtMs: number}): SoakReport {
 	const runCounts = new Map<string, number>();
-	for (const {id, ran} of cluster.replicas.flatMap(replica => replica.received)) {
+	for (const {id, hasRun: ran} of cluster.replicas.flatMap(replica => replica.received)) {
 		runCounts.set(id, (runCounts.get(id) ?? 0) + (ran ? 1 : 0));
 	}
 
--- a/src/__tests__/clock.test.ts
+++ b/src/__tests__/clock.test.ts
@@ -25,6 +25,6 @@
 		time.wall += wall;
 		time.uptime += uptime;
 		expect(clock.now()).toBe(expected);
-		expect(clock.wallNow()).toBe(1_700_000_000_000 + expected);
+		expect(clock.wallTimeMs()).toBe(1_700_000_000_000 + expected);
 	});
 });
--- a/src/bench/calls.ts
+++ b/src/bench/calls.ts
@@ -3,7 +3,7 @@
  */
 import {requestJson, requestStream} from '../transport/http-client.js';
 import {readEvents} from '../transport/sse.js';
-import {completionText} from '../standins/engine-output.js';
+import {generateCompletionText} from '../standins/engine-output.js';
 import {type LatencyHistogram} from './histogram.js';
 
 /** The number of calls sent and of calls with each outcome. */
@@ -83,7 +83,7 @@
 
 		if (isOutcomeUnknown) {
 			measurements.counts.unknownOutcome++;
-		} else if (text === completionText(prompt, maxTokens)) {
+		} else if (text === generateCompletionText(prompt, maxTokens)) {
 			measurements.counts.whole++;
 		} else {
 			measurements.counts.broken++;
--- a/src/bench/run.ts
+++ b/src/bench/experiment-runner.ts
@@ -134,7 +134,7 @@
 }
 
 /** Returns a plain-text summary of a report. */
-export function summarize(report: BenchReport): string {
+export function formatSummary(report: BenchReport): string {
 	const formatPercentiles = (name: string, percentiles: Percentiles) =>
 		`${name}: n=${percentiles.count} p50=${percentiles.p50.toFixed(1)}ms p95=${percentiles.p95.toFixed(1)}ms p99=${percentiles.p99.toFixed(1)}ms max=${percentiles.max.toFixed(1)}ms`;
 	return [
--- a/src/cli/__tests__/leaf-update-delay.test.ts
+++ b/src/cli/__tests__/leaf-update-delay.test.ts
@@ -9,7 +9,7 @@
 } from '../../protocol/platform.js';
 import {SteadyClock} from '../../clock.js';
 import {FleetMessenger} from '../../coordination/fleet/fleet-messenger.js';
-import {roundMs} from '../../coordination/fleet/peer-census.js';
+import {reportIntervalMs} from '../../coordination/fleet/peer-counter.js';
 import {FleetRole, FleetTable} from '../../coordination/fleet/fleet-table.js';
 import {type BackendsSink} from '../../coordination/record-sinks.js';
 import {type RecordSink} from '../../coordination/topic-follower.js';
@@ -61,13 +61,13 @@
 			const report = message as FleetMessage;
 			for (const relay of relays.filter(({address}) => to.some(({host}) => host === address.host))) {
 				if (report.kind === FleetMessageKind.Report && report.wantsView) {
-					messenger.hear(createView(relay, report.round, clock.now() - lastReadAtMs + relayAgeMs));
+					messenger.receive(createView(relay, report.round, clock.now() - lastReadAtMs + relayAgeMs));
 				}
 			}
 		},
 	});
 	for (const {name, address} of relays) {
-		container.resolve(FleetTable).learn(name, failureDomain, address);
+		container.resolve(FleetTable).addAddress(name, failureDomain, address);
 	}
 
 	await messenger.discover(stop.signal);
@@ -87,9 +87,9 @@
 
 async function repeatReports(messenger: FleetMessenger, signal: AbortSignal): Promise<void> {
 	while (!signal.aborted) {
-		messenger.report();
+		messenger.sendReports();
 		// eslint-disable-next-line no-await-in-loop -- one report per interval.
-		await delay(roundMs, undefined, {signal}).catch(() => undefined);
+		await delay(reportIntervalMs, undefined, {signal}).catch(() => undefined);
 	}
 }
 
--- a/src/cli/__tests__/local-stack.test.ts
+++ b/src/cli/__tests__/local-stack.test.ts
@@ -5,16 +5,16 @@
 } from 'vitest';
 import {requestJson, requestStream} from '../../transport/http-client.js';
 import {readEvents} from '../../transport/sse.js';
-import {completionText} from '../../standins/engine-output.js';
-import {chatPrompt} from '../../protocol/openai.js';
-import {smallTopology, startTestStack, waitUntil} from '../../testing/stack.js';
+import {generateCompletionText} from '../../standins/engine-output.js';
+import {renderChatPrompt} from '../../protocol/openai.js';
+import {buildSmallTopology, startTestStack, waitUntil} from '../../testing/stack.js';
 
 const apiKey = 'coop-trading-desk-key';
 
 let stack: Awaited<ReturnType<typeof startTestStack>>;
 
 beforeAll(async () => {
-	stack = await startTestStack(smallTopology(21_000));
+	stack = await startTestStack(buildSmallTopology(21_000));
 });
 
 afterAll(async () => {
@@ -62,7 +62,7 @@
 		expect(response.status).toBe(200);
 		expect(response.done).toBe(true);
 		expect(response.seqs).toEqual([...Array.from({length: maxTokens}).keys()]);
-		expect(response.text).toBe(completionText(prompt ?? chatPrompt(messages), maxTokens));
+		expect(response.text).toBe(generateCompletionText(prompt ?? renderChatPrompt(messages), maxTokens));
 	});
 
 	it.each([
--- a/src/cli/commands/bench.ts
+++ b/src/cli/commands/bench.ts
@@ -5,7 +5,7 @@
 import process from 'node:process';
 import {writeFileSync} from 'node:fs';
 import {loadExperiment} from '../../bench/experiment.js';
-import {runExperiment, summarize} from '../../bench/run.js';
+import {runExperiment, formatSummary} from '../../bench/experiment-runner.js';
 
 /**
  * Runs one experiment.
@@ -18,5 +18,5 @@
 		writeFileSync(out, JSON.stringify(report, undefined, 2));
 	}
 
-	process.stdout.write(summarize(report) + '\n');
+	process.stdout.write(formatSummary(report) + '\n');
 }
--- a/src/cli/commands/front.ts
+++ b/src/cli/commands/front.ts
@@ -72,7 +72,7 @@
 
 /** Starts the diagnostics server on the metrics port; loads its libraries last, since they take longer than the rest of the start. */
 async function startDiagnosticsServer(daemon: FrontDaemon, settings: FrontSettings): Promise<DiagnosticsServer> {
-	const {createRegistry} = await import('../../transport/process-registry.js');
+	const {createMetricsRegistry: createRegistry} = await import('../../transport/metrics-registry.js');
 	const servingMetrics = await import('../../coordination/serving/serving-metrics.js');
 	const registry = createRegistry();
 	daemon.useMetrics(new servingMetrics.ServingMetrics(registry, {openRequests: () => daemon.openRequests, views: () => daemon.views}));
--- a/src/cli/commands/gateway.ts
+++ b/src/cli/commands/gateway.ts
@@ -12,12 +12,12 @@
 import {PlatformLog} from '../../state/platform-log.js';
 import {BackendDirectory} from '../../coordination/backend-directory.js';
 import {FleetController} from '../../coordination/fleet-controller.js';
-import {LeaseKeeper} from '../../coordination/lease.js';
+import {ControllerLease} from '../../coordination/controller-lease.js';
 import {ServiceCalls} from '../../coordination/service-calls.js';
 import {followNotices, followVmList} from '../../coordination/vm-watch.js';
 import {LoadTracker} from '../../coordination/load-tracker.js';
 import {Completions} from '../../coordination/completions.js';
-import {Limits} from '../../coordination/admission.js';
+import {AccountLimiter} from '../../coordination/admission.js';
 import {Membership} from '../../coordination/membership.js';
 import {Journal} from '../../coordination/journal.js';
 import {followConfig} from '../../coordination/config-follower.js';
@@ -25,7 +25,7 @@
 import {
 	addDiagnosticsRoutes, createServer, startServer,
 } from '../../transport/http-server.js';
-import {createRegistry} from '../../transport/process-registry.js';
+import {createMetricsRegistry} from '../../transport/metrics-registry.js';
 import {CallerMetrics} from '../../transport/caller-metrics.js';
 import {addCallerRoutes} from '../../transport/caller-api.js';
 import {addAdminRoutes} from '../../transport/admin-api.js';
@@ -52,7 +52,7 @@
 	const completions = container.resolve(Completions);
 	const membership = container.resolve(Membership);
 	const journal = container.resolve(Journal);
-	const lease = container.resolve(LeaseKeeper);
+	const lease = container.resolve(ControllerLease);
 	const controller = container.resolve(FleetController);
 	const traffic: PeerTraffic = {
 		bytesSent: 0, bytesReceived: 0, messagesSent: 0, messagesReceived: 0,
@@ -63,7 +63,7 @@
 	setMaxListeners(0, stopTasks);
 
 	const state = new GatewayState(settings, container, traffic);
-	const registry = createRegistry();
+	const registry = createMetricsRegistry();
 	state.addMetrics(registry);
 	let isStopping = false;
 	const callers = createServer(settings.listen);
@@ -71,7 +71,7 @@
 		accounts: settings.clientAccounts,
 		completions,
 		services: container.resolve(ServiceCalls),
-		limits: container.resolve(Limits),
+		limits: container.resolve(AccountLimiter),
 		membership,
 		metrics: new CallerMetrics(registry),
 		config,
@@ -84,7 +84,7 @@
 		teams: settings.admin.teams, config, platformLog, status: () => state.status(Date.now()),
 	});
 	acceptPeerLinks(admin.listener, traffic, message => {
-		membership.observe(message, Date.now());
+		membership.recordHeartbeat(message, Date.now());
 	});
 
 	await startServer(admin);
@@ -124,7 +124,7 @@
 	await callers.stop({timeout: settings.drainMs});
 	tasks.abort();
 	await backgroundTasks;
-	await lease.giveUp();
+	await lease.release();
 	await admin.stop({timeout: 1000});
 	log.info('stopped.');
 }
--- a/src/cli/commands/standin.ts
+++ b/src/cli/commands/standin.ts
@@ -4,14 +4,14 @@
 import process from 'node:process';
 import {
 	type EngineStandinSettings, type LogStandinSettings, type CloudStandinSettings, type ServiceStandinSettings, type VmListStandinSettings, type WeightsStandinSettings, standinValidators,
-} from '../../standins/options.js';
+} from '../../standins/settings.js';
 import {loadSettings} from '../../protocol/settings.js';
-import {runLogStandin} from '../../standins/log.js';
+import {runLogStandin} from '../../standins/platform-log.js';
 import {runEngineStandin} from '../../standins/engine.js';
 import {runServiceStandin} from '../../standins/service.js';
 import {runCloudStandin} from '../../standins/cloud.js';
 import {runVmListStandin} from '../../standins/vm-list.js';
-import {runWeightsStandin} from '../../standins/weights.js';
+import {runWeightsStandin} from '../../standins/weight-store.js';
 import {StandinPart} from '../subcommands.js';
 
 /**
--- a/src/cli/front-container.ts
+++ b/src/cli/front-container.ts
@@ -6,26 +6,26 @@
 } from 'tsyringe';
 import {type Platform, Topic} from '../protocol/platform.js';
 import {SteadyClock} from '../clock.js';
-import {Gate} from '../gate.js';
-import {Belief} from '../state/belief.js';
+import {Latch} from '../latch.js';
+import {ViewAge} from '../state/view-age.js';
 import {BackendTable} from '../state/backend-table.js';
 import {RouteTable} from '../state/route-table.js';
-import {BackendPool} from '../transport/backend-pool.js';
+import {BackendConnectionPool} from '../transport/backend-connection-pool.js';
 import {DutyLease} from '../coordination/duty-lease.js';
 import {DutyRunner} from '../coordination/duty-runner.js';
 import {BoundsRecord} from '../coordination/fleet/bounds-record.js';
-import {FleetMessenger, tellingMs} from '../coordination/fleet/fleet-messenger.js';
-import {roundMs} from '../coordination/fleet/peer-census.js';
+import {FleetMessenger, maxViewIntervalMs} from '../coordination/fleet/fleet-messenger.js';
+import {reportIntervalMs} from '../coordination/fleet/peer-counter.js';
 import {FleetRole, FleetTable} from '../coordination/fleet/fleet-table.js';
-import {chooseSenders} from '../coordination/fleet/sender-choice.js';
-import {limitsFor} from '../coordination/follow-limits.js';
+import {selectSenders} from '../coordination/fleet/sender-selection.js';
+import {computeReadLimits} from '../coordination/topic-read-limits.js';
 import {Placement} from '../coordination/placement.js';
 import {PoolDemands} from '../coordination/pool-demand.js';
 import {CrashWatch} from '../coordination/quarantine/crash-watch.js';
 import {Quarantine} from '../coordination/quarantine/quarantine.js';
 import {QuarantineRecord} from '../coordination/quarantine/quarantine-record.js';
 import {QuotaLedger} from '../coordination/quota-ledger.js';
-import {RetryAllowance} from '../coordination/retry-allowance.js';
+import {RetryBudget} from '../coordination/retry-budget.js';
 import {Dispatcher} from '../coordination/serving/dispatcher.js';
 import {Forwarder} from '../coordination/serving/forwarder.js';
 import {DeferredMetrics} from '../coordination/serving/request-metrics.js';
@@ -85,11 +85,11 @@
 	};
 
 	frontContainer.registerInstance(SteadyClock, clock);
-	registerFactory(Gate, () => new Gate());
-	registerFactory(Belief, () => new Belief());
+	registerFactory(Latch, () => new Latch());
+	registerFactory(ViewAge, () => new ViewAge());
 	registerFactory(RouteTable, () => new RouteTable());
 	registerFactory(BackendTable, () => new BackendTable(bounds));
-	registerFactory(BackendPool, () => new BackendPool());
+	registerFactory(BackendConnectionPool, () => new BackendConnectionPool());
 	registerFactory(DeferredMetrics, () => new DeferredMetrics());
 	registerFactory(Placement, () => new Placement(settings.failureDomain));
 	registerFactory(FleetTable, () => new FleetTable({name: settings.name, failureDomain: settings.failureDomain, startedAtMs}));
@@ -103,7 +103,7 @@
 			return bounds.quotaSlack;
 		},
 	}, startedAtMs, settings.isFirstStart));
-	registerFactory(RetryAllowance, () => new RetryAllowance({
+	registerFactory(RetryBudget, () => new RetryBudget({
 		windowMs: bounds.retryWindowMs,
 		get ratio() {
 			return bounds.retryRatio;
@@ -118,17 +118,17 @@
 	registerFactory(QuarantineRecord, resolver => new QuarantineRecord({
 		store, quarantine: resolver.resolve(Quarantine), lease: resolver.resolve(DutyLease), clock,
 	}));
-	registerFactory(StatedLimits, resolver => new StatedLimits((backend, most, nowMs) => chooseSenders(resolver.resolve(FleetTable), settings.name, backend, most, nowMs)));
+	registerFactory(StatedLimits, resolver => new StatedLimits((backend, most, nowMs) => selectSenders(resolver.resolve(FleetTable), settings.name, backend, most, nowMs)));
 	registerFactory(CrashWatch, resolver => new CrashWatch({backends: resolver.resolve(BackendTable), quarantine: resolver.resolve(Quarantine), clock}));
 	registerFactory(Dispatcher, resolver => new Dispatcher({
 		dialect,
 		backends: resolver.resolve(BackendTable),
 		placement: resolver.resolve(Placement),
 		fleet: resolver.resolve(FleetTable),
-		allowance: resolver.resolve(RetryAllowance),
-		pool: resolver.resolve(BackendPool),
+		retryBudget: resolver.resolve(RetryBudget),
+		pool: resolver.resolve(BackendConnectionPool),
 		quarantine: resolver.resolve(Quarantine),
-		crashes: resolver.resolve(CrashWatch),
+		crashWatch: resolver.resolve(CrashWatch),
 		statedLimits: resolver.resolve(StatedLimits),
 		clock,
 	}));
@@ -138,36 +138,36 @@
 	const {configSink, backendsSink} = createSinks(frontContainer);
 	const isRelay = (resolver: DependencyContainer) => resolver.resolve(FleetTable).roleAt(clock.now()) === FleetRole.Relay;
 	const isLeaf = (resolver: DependencyContainer) => resolver.resolve(FleetTable).roleAt(clock.now()) === FleetRole.Leaf;
-	const readConfigLimits = () => limitsFor(bounds.configApplyMs, tellingMs, {
-		waitMs: bounds.revokeMs * maxConfigWaitShare, relayWaitMs: bounds.revokeMs * maxConfigWaitShare, carriedMs: bounds.revokeMs * maxConfigRelayAgeShare,
+	const readConfigLimits = () => computeReadLimits(bounds.configApplyMs, maxViewIntervalMs, {
+		waitMs: bounds.revokeMs * maxConfigWaitShare, relayWaitMs: bounds.revokeMs * maxConfigWaitShare, maxReportAgeMs: bounds.revokeMs * maxConfigRelayAgeShare,
 	});
-	const readBackendsLimits = () => limitsFor(bounds.drainMs - backendsBatchDelayMs, tellingMs, {waitMs: maxBackendsWaitMs, relayWaitMs: maxRelayBackendsWaitMs, carriedMs: maxBackendsRelayAgeMs});
+	const readBackendsLimits = () => computeReadLimits(bounds.drainMs - backendsBatchDelayMs, maxViewIntervalMs, {waitMs: maxBackendsWaitMs, relayWaitMs: maxRelayBackendsWaitMs, maxReportAgeMs: maxBackendsRelayAgeMs});
 	registerFactory(ConfigFollower, resolver => new ConfigFollower({
 		store,
 		topic: Topic.Config,
 		sink: configSink,
-		belief: resolver.resolve(Belief),
+		viewAge: resolver.resolve(ViewAge),
 		clock,
 		waitMs: () => isRelay(resolver) ? readConfigLimits().relayWaitMs : readConfigLimits().waitMs,
-		mostBytes: maxConfigBytes,
-		isNewestEnough: true,
-		gatherMs: 0,
-		carriedMs: () => isLeaf(resolver) ? readConfigLimits().carriedMs : 0,
+		maxBytes: maxConfigBytes,
+		canSkipToNewest: true,
+		batchDelayMs: 0,
+		maxRelayAgeMs: () => isLeaf(resolver) ? readConfigLimits().maxReportAgeMs : 0,
 	}));
 	registerFactory(BackendsFollower, resolver => new BackendsFollower({
 		store,
 		topic: Topic.Backends,
 		sink: backendsSink,
-		belief: new Belief(),
+		viewAge: new ViewAge(),
 		clock,
 		waitMs: () => isRelay(resolver) ? readBackendsLimits().relayWaitMs : readBackendsLimits().waitMs,
-		mostBytes: maxBackendsBytes,
-		isNewestEnough: false,
-		gatherMs: backendsBatchDelayMs,
-		carriedMs: () => isLeaf(resolver) ? readBackendsLimits().carriedMs : 0,
+		maxBytes: maxBackendsBytes,
+		canSkipToNewest: false,
+		batchDelayMs: backendsBatchDelayMs,
+		maxRelayAgeMs: () => isLeaf(resolver) ? readBackendsLimits().maxReportAgeMs : 0,
 	}));
 	registerFactory(BoundsRecord, resolver => new BoundsRecord({
-		store, quota: resolver.resolve(QuotaLedger), lease: resolver.resolve(DutyLease), clock, roundMs,
+		store, quota: resolver.resolve(QuotaLedger), lease: resolver.resolve(DutyLease), clock, roundMs: reportIntervalMs,
 	}));
 	registerFactory(FleetMessenger, resolver => new FleetMessenger({
 		settings,
@@ -195,28 +195,28 @@
 		clock,
 		name: settings.name,
 		usageWindowMs: bounds.usageWindowMs,
-		list: nowMs => ({followedForMs: resolver.resolve(BackendsFollower).followedForMs(nowMs), unchangedForMs: nowMs - backendsSink.grownAtMs}),
-		need: service => resolver.resolve(PoolDemands).need(service.name, clock.now()),
+		listStability: nowMs => ({followedForMs: resolver.resolve(BackendsFollower).followedForMs(nowMs), unchangedForMs: nowMs - backendsSink.lastAddedAtMs}),
+		poolNeed: service => resolver.resolve(PoolDemands).need(service.name, clock.now()),
 	}));
 	registerFactory(Forwarder, resolver => new Forwarder({
 		dialect,
 		routes: resolver.resolve(RouteTable),
-		belief: resolver.resolve(Belief),
-		get mostBeliefMs() {
+		configView: resolver.resolve(ViewAge),
+		get maxViewAgeMs() {
 			return bounds.revokeMs * maxViewAgeShare;
 		},
-		get mostDenialMs() {
+		get maxDenialViewAgeMs() {
 			return Math.min(bounds.configApplyMs, bounds.revokeMs * maxViewAgeShare);
 		},
 		dispatcher: resolver.resolve(Dispatcher),
 		registry: resolver.resolve(StreamRegistry),
 		quota: resolver.resolve(QuotaLedger),
 		usage: resolver.resolve(UsageLedger),
-		allowance: resolver.resolve(RetryAllowance),
+		retryBudget: resolver.resolve(RetryBudget),
 		quarantine: resolver.resolve(Quarantine),
 		clock,
 		quotaPeers: nowMs => resolver.resolve(FleetMessenger).quotaPeers(nowMs),
-		firstView: resolver.resolve(Gate),
+		initialView: resolver.resolve(Latch),
 		metrics: resolver.resolve(DeferredMetrics),
 	}));
 	return frontContainer;
--- a/src/cli/front-daemon.ts
+++ b/src/cli/front-daemon.ts
@@ -2,26 +2,26 @@
 import {setMaxListeners} from 'node:events';
 import {setTimeout as delay} from 'node:timers/promises';
 import {type DependencyContainer} from 'tsyringe';
-import {type ToldTopic} from '../protocol/fleet-messages.js';
+import {type GossipedTopic} from '../protocol/fleet-messages.js';
 import {type Platform, Topic} from '../protocol/platform.js';
 import {SteadyClock} from '../clock.js';
-import {Gate} from '../gate.js';
+import {Latch} from '../latch.js';
 import {createLogger} from '../log.js';
-import {Belief} from '../state/belief.js';
+import {ViewAge} from '../state/view-age.js';
 import {BackendTable} from '../state/backend-table.js';
 import {RouteTable} from '../state/route-table.js';
-import {BackendPool} from '../transport/backend-pool.js';
+import {BackendConnectionPool} from '../transport/backend-connection-pool.js';
 import {DatagramLink} from '../transport/datagram-link.js';
 import {FrontServer} from '../transport/front-server.js';
 import {DutyLease} from '../coordination/duty-lease.js';
 import {DutyRunner} from '../coordination/duty-runner.js';
-import {BoundsRecord, checkMs} from '../coordination/fleet/bounds-record.js';
+import {BoundsRecord, boundsCheckMs} from '../coordination/fleet/bounds-record.js';
 import {FleetMessenger} from '../coordination/fleet/fleet-messenger.js';
-import {roundMs} from '../coordination/fleet/peer-census.js';
+import {reportIntervalMs} from '../coordination/fleet/peer-counter.js';
 import {FleetTable} from '../coordination/fleet/fleet-table.js';
 import {Placement} from '../coordination/placement.js';
 import {Quarantine} from '../coordination/quarantine/quarantine.js';
-import {quarantineCheckMs, QuarantineRecord} from '../coordination/quarantine/quarantine-record.js';
+import {quarantineCheckIntervalMs, QuarantineRecord} from '../coordination/quarantine/quarantine-record.js';
 import {QuotaLedger} from '../coordination/quota-ledger.js';
 import {applySettings} from '../coordination/settings-reload.js';
 import {BackendsSink, ConfigSink} from '../coordination/record-sinks.js';
@@ -29,7 +29,7 @@
 import {type ViewState} from '../coordination/topic-follower.js';
 import {Forwarder} from '../coordination/serving/forwarder.js';
 import {DeferredMetrics, type RequestMetrics} from '../coordination/serving/request-metrics.js';
-import {StreamRegistry, sweepMs} from '../coordination/serving/stream-registry.js';
+import {StreamRegistry, sweepIntervalMs} from '../coordination/serving/stream-registry.js';
 import {BackendsFollower, ConfigFollower, createFrontContainer} from './front-container.js';
 
 const log = createLogger('front');
@@ -80,7 +80,7 @@
 
 	/** Whether the load balancer should send new connections to this daemon. */
 	get isReady(): boolean {
-		const viewAgeMs = this.container.resolve(Belief).ageMs(this.clock.now());
+		const viewAgeMs = this.container.resolve(ViewAge).ageMs(this.clock.now());
 		return !this.isStopping && this.isLoaded && viewAgeMs <= this.platform.settings.bounds.revokeMs * maxReadyViewAgeShare;
 	}
 
@@ -139,11 +139,11 @@
 	/** Closes all connections of clients and to backend servers. */
 	destroyConnections(): void {
 		this.server.destroy();
-		this.container.resolve(BackendPool).destroy();
+		this.container.resolve(BackendConnectionPool).destroy();
 	}
 
 	/** State and age of the views of the store's topics. */
-	get views(): Record<ToldTopic, ViewState> {
+	get views(): Record<GossipedTopic, ViewState> {
 		const nowMs = this.clock.now();
 		return {[Topic.Config]: this.container.resolve(ConfigFollower).stateAt(nowMs), [Topic.Backends]: this.container.resolve(BackendsFollower).stateAt(nowMs)};
 	}
@@ -159,11 +159,11 @@
 			routes: this.container.resolve(RouteTable).toJson(),
 			backends: this.container.resolve(BackendTable).toJson(),
 			fleet: this.container.resolve(FleetTable).toJson(nowMs),
-			holder: this.container.resolve(DutyLease).news(nowMs),
+			holder: this.container.resolve(DutyLease).createHolderUpdate(nowMs),
 			inFlight: this.container.resolve(Placement).inFlight(),
-			streams: {running: registry.size, moved: registry.moved},
+			streams: {running: registry.size, moved: registry.movedCount},
 			connections: this.server.openConnections,
-			limits: Object.fromEntries(this.container.resolve(QuotaLedger).own()),
+			limits: Object.fromEntries(this.container.resolve(QuotaLedger).ownTotals()),
 			quarantine: this.container.resolve(Quarantine).toJson(nowMs),
 			statedLimits: this.container.resolve(StatedLimits).toJson(nowMs),
 		};
@@ -171,14 +171,14 @@
 
 	/** Whether the configuration and a full list of backend servers have been read. */
 	private get isLoaded(): boolean {
-		return this.container.resolve(RouteTable).current !== undefined && this.backendsSink?.isKnown === true;
+		return this.container.resolve(RouteTable).current !== undefined && this.backendsSink?.isLoaded === true;
 	}
 
 	private async openPeerLink(): Promise<void> {
 		const {host, peerPort} = this.platform.settings;
 		const messenger = this.container.resolve(FleetMessenger);
 		messenger.open(await DatagramLink.open({host, port: peerPort}, message => {
-			messenger.hear(message);
+			messenger.receive(message);
 		}, this.signal));
 	}
 
@@ -204,20 +204,20 @@
 		const registry = this.container.resolve(StreamRegistry);
 		return {
 			reports: {
-				intervalMs: () => roundMs,
+				intervalMs: () => reportIntervalMs,
 				step() {
-					messenger.report();
+					messenger.sendReports();
 				},
 			},
 			discovery: {
-				intervalMs: () => messenger.discoverPauseMs,
+				intervalMs: () => messenger.discoveryIntervalMs,
 				step: async () => {
 					this.removeOldBackends();
 					await messenger.discover(this.signal);
 				},
 			},
-			limits: {intervalMs: () => checkMs, step: async () => bounds.save(this.signal)},
-			quarantine: {intervalMs: () => quarantineCheckMs, step: async () => quarantine.save(this.signal)},
+			limits: {intervalMs: () => boundsCheckMs, step: async () => bounds.save(this.signal)},
+			quarantine: {intervalMs: () => quarantineCheckIntervalMs, step: async () => quarantine.save(this.signal)},
 			lease: {intervalMs: () => leaseStepIntervalMs, step: async () => this.stepLease()},
 			duties: {intervalMs: () => dutyIntervalMs, step: async () => duties.step(this.signal)},
 			settings: {
@@ -227,7 +227,7 @@
 				},
 			},
 			sweep: {
-				intervalMs: () => sweepMs,
+				intervalMs: () => sweepIntervalMs,
 				step: () => {
 					registry.sweep(this.clock.now());
 				},
@@ -255,7 +255,7 @@
 	/** Releases the requests that wait for the first view of the configuration and the backend servers. */
 	private admitRequestsOnceLoaded(): void {
 		if (this.isLoaded) {
-			this.container.resolve(Gate).open();
+			this.container.resolve(Latch).open();
 		}
 	}
 
@@ -273,6 +273,6 @@
 
 		const nowMs = this.clock.now();
 		const fleet = this.container.resolve(FleetTable);
-		await this.container.resolve(DutyLease).step({rank: fleet.rank(nowMs), hearsMost: fleet.hearsMost(nowMs), startedAtMs: this.startedAtMs}, this.signal);
+		await this.container.resolve(DutyLease).step({rank: fleet.rank(nowMs), isMajorityResponsive: fleet.hearsMost(nowMs), startedAtMs: this.startedAtMs}, this.signal);
 	}
 }
--- a/src/cli/gateway-container.ts
+++ b/src/cli/gateway-container.ts
@@ -10,16 +10,16 @@
 import {PlatformLog} from '../state/platform-log.js';
 import {BackendDirectory} from '../coordination/backend-directory.js';
 import {FleetController} from '../coordination/fleet-controller.js';
-import {LeaseKeeper} from '../coordination/lease.js';
+import {ControllerLease} from '../coordination/controller-lease.js';
 import {LeaseTable} from '../state/lease-table.js';
 import {readClocks} from '../clock.js';
 import {ServiceCalls} from '../coordination/service-calls.js';
 import {LoadTracker} from '../coordination/load-tracker.js';
 import {Completions} from '../coordination/completions.js';
-import {Limits} from '../coordination/admission.js';
+import {AccountLimiter} from '../coordination/admission.js';
 import {Membership} from '../coordination/membership.js';
 import {Journal} from '../coordination/journal.js';
-import {JournalTable, defaultJournalKeptMs} from '../state/journal-table.js';
+import {JournalTable, defaultJournalRetentionMs} from '../state/journal-table.js';
 
 /** The injection token of the gateway's settings. */
 export const gatewaySettingsToken = Symbol('GatewaySettings');
@@ -30,21 +30,21 @@
 	gatewayContainer.registerInstance(gatewaySettingsToken, settings);
 	gatewayContainer.register(ConfigTable, {useFactory: instanceCachingFactory(() => new ConfigTable())});
 	gatewayContainer.register(PlatformLog, {useFactory: instanceCachingFactory(() => new PlatformLog(settings.platformLog.url, settings.id))});
-	gatewayContainer.register(Limits, {useFactory: instanceCachingFactory(() => new Limits())});
+	gatewayContainer.register(AccountLimiter, {useFactory: instanceCachingFactory(() => new AccountLimiter())});
 	gatewayContainer.register(Membership, {useFactory: instanceCachingFactory(() => new Membership(settings.heartbeatMs))});
-	gatewayContainer.register(JournalTable, {useFactory: instanceCachingFactory(() => new JournalTable(settings.id, Math.min(defaultJournalKeptMs, settings.platformLog.retentionMs)))});
+	gatewayContainer.register(JournalTable, {useFactory: instanceCachingFactory(() => new JournalTable(settings.id, Math.min(defaultJournalRetentionMs, settings.platformLog.retentionMs)))});
 	gatewayContainer.register(Journal, {
 		useFactory: instanceCachingFactory(resolver => new Journal(resolver.resolve(PlatformLog), resolver.resolve(JournalTable), settings.id, settings.journalFlushMs)),
 	});
 	gatewayContainer.register(LeaseTable, {useFactory: instanceCachingFactory(() => new LeaseTable())});
-	gatewayContainer.register(LeaseKeeper, {
-		useFactory: instanceCachingFactory(resolver => new LeaseKeeper({
+	gatewayContainer.register(ControllerLease, {
+		useFactory: instanceCachingFactory(resolver => new ControllerLease({
 			platformLog: resolver.resolve(PlatformLog), table: resolver.resolve(LeaseTable), holder: settings.id, leaseMs: settings.controller.leaseMs,
 		}, readClocks())),
 	});
 	gatewayContainer.register(FleetController, {
 		useFactory: instanceCachingFactory(resolver => new FleetController({
-			lease: resolver.resolve(LeaseKeeper),
+			lease: resolver.resolve(ControllerLease),
 			config: resolver.resolve(ConfigTable),
 			platformLog: resolver.resolve(PlatformLog),
 			loads: resolver.resolve(LoadTracker),
--- a/src/cli/gateway-state.ts
+++ b/src/cli/gateway-state.ts
@@ -9,8 +9,8 @@
 import {Completions} from '../coordination/completions.js';
 import {FleetController} from '../coordination/fleet-controller.js';
 import {Journal} from '../coordination/journal.js';
-import {LeaseKeeper} from '../coordination/lease.js';
-import {Limits} from '../coordination/admission.js';
+import {ControllerLease} from '../coordination/controller-lease.js';
+import {AccountLimiter} from '../coordination/admission.js';
 import {LoadTracker} from '../coordination/load-tracker.js';
 import {Membership} from '../coordination/membership.js';
 import {ConfigTable} from '../state/config-table.js';
@@ -46,11 +46,11 @@
 		return {
 			...this.status(nowMs),
 			loads: Object.fromEntries(container.resolve(LoadTracker).views),
-			limits: container.resolve(Limits).toJson(),
+			limits: container.resolve(AccountLimiter).toJson(),
 			peerTraffic: this.traffic,
 			completions: container.resolve(Completions).toJson(),
 			backendServers: container.resolve(BackendDirectory).toJson(),
-			lease: container.resolve(LeaseKeeper).toJson(readClocks()),
+			lease: container.resolve(ControllerLease).toJson(readClocks()),
 			controller: container.resolve(FleetController).toJson(),
 			platformLogAppends: container.resolve(PlatformLog).appends,
 			journal: {...container.resolve(JournalTable).toJson(), batches: journal.batches},
@@ -77,7 +77,7 @@
 		const config = this.container.resolve(ConfigTable);
 		const directory = this.container.resolve(BackendDirectory);
 		const {counters} = this.container.resolve(FleetController);
-		const lease = this.container.resolve(LeaseKeeper);
+		const lease = this.container.resolve(ControllerLease);
 		const journalTable = this.container.resolve(JournalTable);
 		const membership = this.container.resolve(Membership);
 		const platformLog = this.container.resolve(PlatformLog);
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -70,7 +70,7 @@
 	}
 
 	/** Returns the wall-clock time at the process's start plus the time since then, in milliseconds since 1970; later jumps of the wall clock have no effect. */
-	wallNow(): number {
+	wallTimeMs(): number {
 		return this.now() + this.wallOffsetMs;
 	}
 }
--- a/src/coordination/__tests__/flight.test.ts
+++ b/src/coordination/__tests__/active-completion.test.ts
@@ -2,7 +2,7 @@
 	afterEach, beforeEach, describe, expect, it, vi,
 } from 'vitest';
 import {BackendKind} from '../../protocol/gateway-settings.js';
-import {ActiveCompletion, stallTimeoutMs} from '../flight.js';
+import {ActiveCompletion, stallTimeoutMs} from '../active-completion.js';
 
 // Guards against aborting a stalled run while no other engine could resume the stream. The third
 // such abort failed the request, so the caller's stream broke although its engine might still answer.
--- a/src/coordination/__tests__/admission.test.ts
+++ b/src/coordination/__tests__/admission.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {Limits, Refusal, shareOfLimit} from '../admission.js';
+import {AccountLimiter, Refusal, shareOfLimit} from '../admission.js';
 
 const limit = {requestsPerSecond: 10, burst: 2, maxConcurrent: 3};
 
@@ -18,7 +18,7 @@
 			name: 'caps the requests in flight', at: [0, 200, 400, 600], releaseEach: false, expected: [true, true, true, Refusal.Concurrency],
 		},
 	])('$name', ({at, releaseEach, expected}) => {
-		const limits = new Limits();
+		const limits = new AccountLimiter();
 		const outcomes = at.map(nowMs => {
 			const admission = limits.admit('desk', limit, nowMs);
 			if (!admission.admitted) {
@@ -35,7 +35,7 @@
 	});
 
 	it('returns the time to retry after when it refuses a request because of the rate', () => {
-		const limits = new Limits();
+		const limits = new AccountLimiter();
 		limits.admit('desk', limit, 0);
 		limits.admit('desk', limit, 0);
 		const refused = limits.admit('desk', limit, 0);
--- a/src/coordination/__tests__/truth.test.ts
+++ b/src/coordination/__tests__/answer-integrity.test.ts
@@ -1,10 +1,10 @@
 import {
 	afterAll, afterEach, beforeAll, describe, expect, it,
 } from 'vitest';
-import {completionText} from '../../standins/engine-output.js';
+import {generateCompletionText} from '../../standins/engine-output.js';
 import {ScrambleMode} from '../../standins/chunk-scrambler.js';
 import {
-	readState, receiveStream, setFaults, smallTopology, startTestStack, type TestStack,
+	readState, receiveStream, setFaults, buildSmallTopology, startTestStack, type TestStack,
 } from '../../testing/stack.js';
 
 const basePort = 26_000;
@@ -16,7 +16,7 @@
 let stack: TestStack;
 
 beforeAll(async () => {
-	stack = await startTestStack(smallTopology(basePort));
+	stack = await startTestStack(buildSmallTopology(basePort));
 });
 
 afterAll(async () => {
@@ -33,7 +33,7 @@
 		const prompts = [0, 1, 2, 3].map(index => `gate check ${index} with chunks in ${scramble}`);
 		const answers = await Promise.all(prompts.map(async prompt => receiveStream({url: stack.gateways[0].url, prompt, maxTokens: 43})));
 		for (const [index, answer] of answers.entries()) {
-			expect(answer.text).toBe(completionText(prompts[index], 43));
+			expect(answer.text).toBe(generateCompletionText(prompts[index], 43));
 			expect(answer.seqs).toEqual([...Array.from({length: 43}).keys()]);
 		}
 
--- a/src/coordination/__tests__/at-most-once.test.ts
+++ b/src/coordination/__tests__/at-most-once.test.ts
@@ -4,7 +4,7 @@
 } from 'vitest';
 import {requestJson} from '../../transport/http-client.js';
 import {
-	pidOf, setFaults, smallTopology, startTestStack, waitUntil,
+	findProcessId, setFaults, buildSmallTopology, startTestStack, waitUntil,
 } from '../../testing/stack.js';
 
 const apiKey = 'coop-trading-desk-key';
@@ -13,7 +13,7 @@
 let serviceUrl: string;
 
 beforeAll(async () => {
-	stack = await startTestStack(smallTopology(23_000));
+	stack = await startTestStack(buildSmallTopology(23_000));
 	serviceUrl = `http://127.0.0.1:${23_000 + 200}`;
 });
 
@@ -91,7 +91,7 @@
 	});
 
 	it('and is reported as not run, with its key released, when no backend server could be reached', async () => {
-		process.kill(pidOf(stack, 'settlement-0'), 'SIGKILL');
+		process.kill(findProcessId(stack, 'settlement-0'), 'SIGKILL');
 		await stack.running.children.find(child => child.name === 'settlement-0')!.exited;
 		const first = await confirm(0, 'unreached-1');
 		expect(first.statusCode).toBe(503);
--- a/src/coordination/__tests__/backend-directory.test.ts
+++ b/src/coordination/__tests__/backend-directory.test.ts
@@ -35,10 +35,10 @@
 			}
 
 			if (notice !== undefined) {
-				directory.noteLeaving(notice, LeavingSource.Notice, atMs + 5000, atMs);
+				directory.markLeaving(notice, LeavingSource.Notice, atMs + 5000, atMs);
 			}
 		}
 
-		expect(directory.takingWork(BackendKind.Engine).map(backend => backend.id)).toEqual(expected);
+		expect(directory.acceptingWork(BackendKind.Engine).map(backend => backend.id)).toEqual(expected);
 	});
 });
--- a/src/coordination/__tests__/completions.test.ts
+++ b/src/coordination/__tests__/completions.test.ts
@@ -56,7 +56,7 @@
 	});
 
 	const announceLeaving = () => {
-		directory.noteLeaving(firstEngine!, LeavingSource.Notice, Date.now() + noticeMs, Date.now());
+		directory.markLeaving(firstEngine!, LeavingSource.Notice, Date.now() + noticeMs, Date.now());
 	};
 
 	if (leaveAfterTokens === 0) {
--- a/src/coordination/__tests__/config-outage.test.ts
+++ b/src/coordination/__tests__/config-outage.test.ts
@@ -6,7 +6,7 @@
 import {startStack} from '../../../scripts/stack.mjs';
 import {requestJson} from '../../transport/http-client.js';
 import {
-	pidOf, publishPreset, readState, receiveStream, setFaults, smallTopology, startTestStack, type TestStack, waitUntil,
+	findProcessId, publishPreset, readState, receiveStream, setFaults, buildSmallTopology, startTestStack, type TestStack, waitUntil,
 } from '../../testing/stack.js';
 
 const retentionMs = 2000;
@@ -17,7 +17,7 @@
 let stack: TestStack;
 
 beforeAll(async () => {
-	stack = await startTestStack(smallTopology(28_000, {retentionMs, controller: {leaseMs: 1000, passMs: 100}}));
+	stack = await startTestStack(buildSmallTopology(28_000, {retentionMs, controller: {leaseMs: 1000, passMs: 100}}));
 });
 
 afterAll(async () => {
@@ -42,7 +42,7 @@
 /** Kills a gateway and starts it again with the same settings. */
 async function restartAfterKill(name: string): Promise<void> {
 	const old = stack.running.children.find(child => child.name === name)!;
-	process.kill(pidOf(stack, name), 'SIGKILL');
+	process.kill(findProcessId(stack, name), 'SIGKILL');
 	await old.exited;
 	const started = startStack(stack.processes.filter(entry => entry.name === name), {quiet: true});
 	stack.running.children.splice(stack.running.children.indexOf(old), 1, ...started.children);
@@ -65,7 +65,7 @@
 		expect(during.active).toBe('before');
 		expect(during.version).toBeGreaterThanOrEqual(before.version);
 		const answer = await receiveStream({url: stack.gateways[1].url, prompt: 'during the fault', maxTokens: 3});
-		expect(answer.done).toBe(true);
+		expect(answer.isDone).toBe(true);
 		await setFaults(stack.logUrl, recovered);
 		const settled = await attempt;
 		expect(settled.body.accepted === true || settled.body.outcome === 'not-run').toBe(true);
--- a/src/coordination/__tests__/lease.test.ts
+++ b/src/coordination/__tests__/controller-lease.test.ts
@@ -3,7 +3,7 @@
 import {type LeaseRecord, LeaseRecordKind} from '../../protocol/lease-records.js';
 import {LeaseTable} from '../../state/lease-table.js';
 import {PlatformLog} from '../../state/platform-log.js';
-import {LeaseKeeper} from '../lease.js';
+import {ControllerLease} from '../controller-lease.js';
 
 const leaseMs = 1000;
 const at = (ms: number): Instant => ({monotonicMs: ms, wallMs: ms});
@@ -11,7 +11,7 @@
 /** Two gateways that share an in-memory log; the test decides when each reads and writes. */
 class GatewayPair {
 	readonly log: LeaseRecord[] = [];
-	readonly gateways = ['a', 'b'].map(holder => new LeaseKeeper({
+	readonly gateways = ['a', 'b'].map(holder => new ControllerLease({
 		platformLog: new PlatformLog('http://unused', holder), table: new LeaseTable(), holder, leaseMs,
 	}, at(0)));
 
--- a/src/coordination/__tests__/controller.test.ts
+++ b/src/coordination/__tests__/controller.test.ts
@@ -6,7 +6,7 @@
 import {type VmEntry, VmState} from '../../protocol/cloud-api.js';
 import {type ModelFleet} from '../../protocol/config-records.js';
 import {
-	pidOf, publishPreset, readState, receiveStream, setFaults, smallTopology, startTestStack, type TestStack, waitUntil,
+	findProcessId, publishPreset, readState, receiveStream, setFaults, buildSmallTopology, startTestStack, type TestStack, waitUntil,
 } from '../../testing/stack.js';
 
 const basePort = 27_000;
@@ -32,7 +32,7 @@
 let stack: TestStack;
 
 beforeAll(async () => {
-	stack = await startTestStack(smallTopology(basePort, {
+	stack = await startTestStack(buildSmallTopology(basePort, {
 		failureDomains,
 		models: [{name: 'desk', replicas: 3}],
 		spareSlots: 2,
@@ -92,7 +92,7 @@
 	it('starts the VMs that the preset specifies and orders them to load their model', async () => {
 		await waitUntil(async () => await servingEngines() === fleet.min);
 		const answer = await receiveStream({url: stack.gateways[0].url, prompt: 'first', maxTokens: 4});
-		expect(answer.done).toBe(true);
+		expect(answer.isDone).toBe(true);
 	});
 
 	it('replaces the VMs of a reclaimed failure domain in others when starts in it are refused', async () => {
@@ -125,7 +125,7 @@
 		const names = ['desk-0', 'desk-1', 'desk-2', ...failureDomains.flatMap(domain => [0, 1].map(spare => `slot-${domain}-${spare}`))];
 		const states = await readEngines();
 		const victim = states.findIndex(state => state.powered && state.model === 'desk');
-		process.kill(pidOf(stack, names[victim]), 'SIGKILL');
+		process.kill(findProcessId(stack, names[victim]), 'SIGKILL');
 		engineUrls.splice(victim, 1);
 		await waitUntil(async () => {
 			const vms = await liveVms();
@@ -137,7 +137,7 @@
 		const streams = Array.from({length: 44}, async (_, index) => receiveStream({url: stack.gateways[index % 3].url, prompt: `peak ${index}`, maxTokens: 200}));
 		await waitUntil(async () => await servingEngines() === fleet.max);
 		const answers = await Promise.all(streams);
-		expect(answers.every(answer => answer.done)).toBe(true);
+		expect(answers.every(answer => answer.isDone)).toBe(true);
 	});
 });
 
@@ -147,10 +147,10 @@
 			name: 'that is suspended beyond its lease',
 			failureDomain: 'fd-b',
 			stop(first: GatewayState) {
-				process.kill(pidOf(stack, first.id), 'SIGSTOP');
+				process.kill(findProcessId(stack, first.id), 'SIGSTOP');
 			},
 			resume(first: GatewayState) {
-				process.kill(pidOf(stack, first.id), 'SIGCONT');
+				process.kill(findProcessId(stack, first.id), 'SIGCONT');
 			},
 		},
 		{
@@ -198,7 +198,7 @@
 
 	it('hands over the lease at once when the holder stops gracefully', async () => {
 		const first = await holder();
-		process.kill(pidOf(stack, first!.id), 'SIGTERM');
+		process.kill(findProcessId(stack, first!.id), 'SIGTERM');
 		await waitUntil(async () => {
 			const next = await holder();
 			return next !== undefined && next.id !== first!.id;
--- a/src/coordination/__tests__/own-record.test.ts
+++ b/src/coordination/__tests__/daemon-record.test.ts
@@ -5,7 +5,7 @@
 import {Topic} from '../../protocol/platform.js';
 import {FakeStore} from '../../testing/fake-store.js';
 import {DutyKey, DutyLease} from '../duty-lease.js';
-import {fieldsOf, readOwnRecord} from '../own-record.js';
+import {fieldsOf, decodeDaemonRecord} from '../daemon-record.js';
 
 const {signal} = new AbortController();
 const isNamed = (value: unknown): value is {name: string} => typeof fieldsOf(value).name === 'string';
@@ -18,12 +18,12 @@
 		{name: 'rejects null', text: 'null', expected: undefined},
 		{name: 'rejects invalid JSON', text: '{', expected: undefined},
 	])('$name', ({text, expected}) => {
-		expect(readOwnRecord(Buffer.from(text), isNamed, 'test')).toEqual(expected);
+		expect(decodeDaemonRecord(Buffer.from(text), isNamed, 'test')).toEqual(expected);
 	});
 
 	it('never throws, for any bytes', () => {
 		fc.assert(fc.property(fc.oneof(fc.uint8Array(), fc.json().map(text => Buffer.from(text))), value => {
-			readOwnRecord(value, isNamed, 'test');
+			decodeDaemonRecord(value, isNamed, 'test');
 		}), {seed: 996, numRuns: 300});
 	});
 });
@@ -34,7 +34,7 @@
 		const store = new FakeStore();
 		store.put(Topic.Duties, DutyKey.Claim, text);
 		const lease = new DutyLease(store, 'a', 3000, clock);
-		const inputs = {rank: 0, hearsMost: true, startedAtMs: 0};
+		const inputs = {rank: 0, isMajorityResponsive: true, startedAtMs: 0};
 		await lease.step(inputs, signal);
 		await lease.step(inputs, signal);
 		expect(lease.isConfirmedAt(10_000)).toBe(true);
--- a/src/coordination/__tests__/duty-lease.test.ts
+++ b/src/coordination/__tests__/duty-lease.test.ts
@@ -18,7 +18,7 @@
 	const store = new FakeStore();
 	const {clock, time} = createClock();
 	const daemons = ['a', 'b'].map(name => new DutyLease(store, name, leaseMs, clock));
-	const inputs = {rank: 0, hearsMost: true, startedAtMs: 0};
+	const inputs = {rank: 0, isMajorityResponsive: true, startedAtMs: 0};
 	return {
 		store, time, first: daemons[0], second: daemons[1], inputs,
 	};
@@ -26,7 +26,7 @@
 
 describe('shouldClaim', () => {
 	const base = {
-		rank: 0, hearsMost: true, holderLastSeenAtMs: 0, startedAtMs: 0,
+		rank: 0, isMajorityResponsive: true, holderLastSeenAtMs: 0, startedAtMs: 0,
 	};
 	it.each([
 		{
@@ -39,10 +39,10 @@
 			name: 'false for a later rank, which waits longer', inputs: {...base, rank: 3}, nowMs: 2500, expected: false,
 		},
 		{
-			name: 'false for a daemon most of whose peers are silent', inputs: {...base, hearsMost: false}, nowMs: 5000, expected: false,
+			name: 'false for a daemon most of whose peers are silent', inputs: {...base, isMajorityResponsive: false}, nowMs: 5000, expected: false,
 		},
 		{
-			name: 'true for such a daemon after the longer timeout', inputs: {...base, hearsMost: false}, nowMs: 13_000, expected: true,
+			name: 'true for such a daemon after the longer timeout', inputs: {...base, isMajorityResponsive: false}, nowMs: 13_000, expected: true,
 		},
 		{
 			name: 'true soon after the start if there was never a holder', inputs: {...base, holderLastSeenAtMs: undefined}, nowMs: 400, expected: true,
@@ -62,7 +62,7 @@
 	it('does not act on a later claim until the previous holder\'s confirmation must have expired', async () => {
 		const {first, second, time, inputs} = createPair();
 		await first.step(inputs, signal);
-		second.hear({token: 1, ageMs: 0}, time.ms);
+		second.applyHolderUpdate({token: 1, ageMs: 0}, time.ms);
 		time.ms += 5000;
 		await second.step(inputs, signal);
 		expect(second.tokenAt(time.ms)).toBeUndefined();
@@ -78,11 +78,11 @@
 		time.ms += 1600;
 		expect(first.tokenAt(time.ms)).toBeUndefined();
 		store.isDown = false;
-		second.hear({token: 1, ageMs: 5000}, time.ms);
+		second.applyHolderUpdate({token: 1, ageMs: 5000}, time.ms);
 		await second.step(inputs, signal);
 		await first.step(inputs, signal);
 		expect(first.tokenAt(time.ms)).toBeUndefined();
-		expect(first.news(time.ms)).toBeDefined();
+		expect(first.createHolderUpdate(time.ms)).toBeDefined();
 	});
 
 	it('lets exactly one of two concurrent claims win', async () => {
@@ -94,9 +94,9 @@
 
 	it('finds a claim whose answer was lost with the next read', async () => {
 		const {first, store, time, inputs} = createPair();
-		store.losesAnswers = true;
+		store.shouldLoseAnswers = true;
 		await expect(first.step(inputs, signal)).rejects.toThrow('answer lost');
-		store.losesAnswers = false;
+		store.shouldLoseAnswers = false;
 		time.ms += 1000;
 		await first.step(inputs, signal);
 		expect(first.tokenAt(time.ms)).toBe(1);
@@ -113,7 +113,7 @@
 		const {store, time, first, inputs} = createPair();
 		await first.step(inputs, signal);
 		store.put(Topic.Duties, DutyKey.Claim, JSON.stringify({holder: 'b'}));
-		store.mostRecords = 0;
+		store.maxRecordsPerRead = 0;
 		time.ms += 1600;
 		await first.step(inputs, signal);
 		expect(first.isConfirmedAt(time.ms)).toBe(false);
--- a/src/coordination/__tests__/duty-runner.test.ts
+++ b/src/coordination/__tests__/duty-runner.test.ts
@@ -22,7 +22,7 @@
 	const time = {ms: 100_000};
 	const clock = new SteadyClock({monotonicMs: () => time.ms, wallMs: () => time.ms, uptimeMs: () => time.ms});
 	const lease = new DutyLease(new FakeStore(), 'a', 3000, clock);
-	await lease.step({rank: 0, hearsMost: true, startedAtMs: 0}, signal);
+	await lease.step({rank: 0, isMajorityResponsive: true, startedAtMs: 0}, signal);
 	const orders: PoolOrder[] = [];
 	const cloud: Cloud = {
 		reportUsage: async () => DutyResult.Accepted,
@@ -49,8 +49,8 @@
 		clock,
 		name: 'a',
 		usageWindowMs: 5000,
-		list: () => stability,
-		need() {
+		listStability: () => stability,
+		poolNeed() {
 			demand ??= new PoolDemand(backends.listed().length, time.ms);
 			return demand.need();
 		},
@@ -88,7 +88,7 @@
 			orderPool: async () => DutyResult.Accepted,
 		};
 		const runner = new DutyRunner({
-			cloud, lease, usage, routes, backends: new BackendTable({drainMs: 2000}), clock, name, usageWindowMs: 5000, list: () => ({followedForMs: 0, unchangedForMs: 0}), need: undefined as never,
+			cloud, lease, usage, routes, backends: new BackendTable({drainMs: 2000}), clock, name, usageWindowMs: 5000, listStability: () => ({followedForMs: 0, unchangedForMs: 0}), poolNeed: undefined as never,
 		});
 		return {
 			name, ownStore, lease, usage, runner,
@@ -140,12 +140,12 @@
 				daemon.ownStore.isDown = isDown;
 				daemon.usage.count('x', time.ms);
 				const others = daemons.filter(other => other !== daemon && !other.ownStore.isDown && !isDown);
-				for (const update of others.map(other => other.lease.news(time.ms)).filter(update => update !== undefined)) {
-					daemon.lease.hear(update, time.ms);
+				for (const update of others.map(other => other.lease.createHolderUpdate(time.ms)).filter(update => update !== undefined)) {
+					daemon.lease.applyHolderUpdate(update, time.ms);
 				}
 
 				// eslint-disable-next-line no-await-in-loop -- the steps run in time order.
-				await daemon.lease.step({rank: index, hearsMost: true, startedAtMs: startMs}, signal).catch(() => undefined);
+				await daemon.lease.step({rank: index, isMajorityResponsive: true, startedAtMs: startMs}, signal).catch(() => undefined);
 				// eslint-disable-next-line no-await-in-loop
 				await daemon.runner.step(signal).catch(() => undefined);
 			}
--- a/src/coordination/__tests__/fleet-limits.test.ts
+++ b/src/coordination/__tests__/fleet-limits.test.ts
@@ -3,7 +3,7 @@
 } from 'vitest';
 import {requestJson} from '../../transport/http-client.js';
 import {
-	publishPreset, readState, receiveStream, smallTopology, startTestStack, type TestStack, waitUntil,
+	publishPreset, readState, receiveStream, buildSmallTopology, startTestStack, type TestStack, waitUntil,
 } from '../../testing/stack.js';
 
 const burst = 30;
@@ -11,7 +11,7 @@
 let stack: TestStack;
 
 beforeAll(async () => {
-	stack = await startTestStack(smallTopology(29_000));
+	stack = await startTestStack(buildSmallTopology(29_000));
 	await waitUntil(async () => {
 		const states = await Promise.all(stack.gateways.map(async gateway => readState<{peers: Array<{alive: boolean}>}>(gateway.adminUrl)));
 		return states.every(state => state.peers.filter(peer => peer.alive).length === 2);
--- a/src/coordination/__tests__/reclaim.test.ts
+++ b/src/coordination/__tests__/reclaim.test.ts
@@ -3,9 +3,9 @@
 	afterAll, beforeAll, describe, expect, it,
 } from 'vitest';
 import {requestJson} from '../../transport/http-client.js';
-import {completionText} from '../../standins/engine-output.js';
+import {generateCompletionText} from '../../standins/engine-output.js';
 import {
-	pidOf, readState, receiveStream, setFaults, smallTopology, startTestStack, type TestStack, waitUntil,
+	findProcessId, readState, receiveStream, setFaults, buildSmallTopology, startTestStack, type TestStack, waitUntil,
 } from '../../testing/stack.js';
 
 const basePort = 25_000;
@@ -18,7 +18,7 @@
 let stack: TestStack;
 
 beforeAll(async () => {
-	stack = await startTestStack(smallTopology(basePort, {
+	stack = await startTestStack(buildSmallTopology(basePort, {
 		failureDomains: ['fd-a', 'fd-b'], models: [{name: 'desk', replicas: 4}], cloud: {reclaimNoticeMs: 2000}, vmListLagMs: 2000,
 	}));
 });
@@ -36,7 +36,7 @@
 	it.each([
 		{
 			name: 'the gateway is killed', gateway: 2, breakOff() {
-				process.kill(pidOf(stack, 'gateway-2'), 'SIGKILL');
+				process.kill(findProcessId(stack, 'gateway-2'), 'SIGKILL');
 			},
 		},
 		{
@@ -56,15 +56,15 @@
 				}
 			},
 		});
-		expect(first.done).toBe(false);
+		expect(first.isDone).toBe(false);
 		const seen = first.seqs.length;
 		const before = await counters(0);
 		const rest = await receiveStream({
 			url: stack.gateways[0].url, prompt, maxTokens, headers: {'x-request-id': first.requestId!, 'last-event-id': String(seen - 1)},
 		});
-		expect(rest.done).toBe(true);
+		expect(rest.isDone).toBe(true);
 		expect(rest.seqs[0]).toBe(seen);
-		expect(first.text + rest.text).toBe(completionText(prompt, maxTokens));
+		expect(first.text + rest.text).toBe(generateCompletionText(prompt, maxTokens));
 		const after = await counters(0);
 		expect(after.recomputedTokens).toBe(before.recomputedTokens);
 	});
@@ -88,10 +88,10 @@
 		const answers = await Promise.all(streams);
 		const late = await Promise.all(prompts.map(async prompt => receiveStream({url: stack.gateways[0].url, prompt: `${prompt}, late`, maxTokens: 4})));
 		for (const [index, answer] of answers.entries()) {
-			expect(answer.text).toBe(completionText(prompts[index], maxTokens));
+			expect(answer.text).toBe(generateCompletionText(prompts[index], maxTokens));
 		}
 
-		expect(late.every(answer => answer.done)).toBe(true);
+		expect(late.every(answer => answer.isDone)).toBe(true);
 		const after = await counters(0);
 		expect(after.kvMoves - before.kvMoves).toBeGreaterThan(0);
 		expect(after.kvMoves).toBe(after.moves);
@@ -131,7 +131,7 @@
 		await requestJson({method: 'POST', url: `${stack.cloudUrl}/admin/reclaim`, payload: {failureDomain: 'fd-b'}});
 		const answers = await Promise.all(streams);
 		for (const [index, answer] of answers.entries()) {
-			expect(answer.text).toBe(completionText(prompts[index], maxTokens));
+			expect(answer.text).toBe(generateCompletionText(prompts[index], maxTokens));
 		}
 
 		const after = await counters(1);
--- a/src/coordination/__tests__/shared-limits.test.ts
+++ b/src/coordination/__tests__/shared-limits.test.ts
@@ -4,15 +4,15 @@
 import {type Account} from '../../protocol/serving.js';
 import {type AccountUse} from '../account-window.js';
 import {QuotaLedger, type QuotaPeers, requestCost} from '../quota-ledger.js';
-import {RepeatPurpose, RetryAllowance} from '../retry-allowance.js';
+import {RetryPurpose, RetryBudget} from '../retry-budget.js';
 import {UsageLedger} from '../usage-ledger.js';
 
 const account: Account = {
-	name: 'a', apiKeys: [], priority: undefined, ratePerSecond: 1000, burst: 1000, countsTokens: true, plainTokens: 200,
+	name: 'a', apiKeys: [], priority: undefined, ratePerSecond: 1000, burst: 1000, countsTokens: true, defaultTokenCost: 200,
 };
 const bounds = {windowMs: 8000, tolerance: 0, slack: 0};
 const noPeers = {
-	daemons: 1, silent: 0, unheardMs: 300, roundMs: 300, unheardOf: 0, isAlone: false,
+	daemons: 1, silentDaemons: 0, reportDelayMs: 300, reportIntervalMs: 300, unreportedDaemons: 0, isIsolated: false,
 };
 
 /** Admits requests of 100 cost units until one is refused, and returns the cost admitted. */
@@ -52,23 +52,23 @@
 	it.each([
 		{
 			name: 'subtracts what peers admitted', peers: {
-				daemons: 2, silent: 0, unheardMs: 0, roundMs: 0, unheardOf: 0, isAlone: false,
+				daemons: 2, silentDaemons: 0, reportDelayMs: 0, reportIntervalMs: 0, unreportedDaemons: 0, isIsolated: false,
 			}, peerSpent: 5000, expected: 4000,
 		},
 		{
 			name: 'reserves the share of a silent peer', peers: {
-				daemons: 2, silent: 1, unheardMs: 0, roundMs: 0, unheardOf: 0, isAlone: false,
+				daemons: 2, silentDaemons: 1, reportDelayMs: 0, reportIntervalMs: 0, unreportedDaemons: 0, isIsolated: false,
 			}, peerSpent: 0, expected: 4500,
 		},
 	])('$name', ({peers, peerSpent, expected}) => {
 		const ledger = new QuotaLedger(bounds, 0, true);
-		ledger.notePeers('a', {admitted: peerSpent, refused: 0}, 0);
+		ledger.addPeerUse('a', {admitted: peerSpent, refused: 0}, 0);
 		expect(admitAll(ledger, peers, 0)).toBe(expected);
 	});
 
 	it('takes over the profiles of a peer after a restart', () => {
 		const ledger = new QuotaLedger(bounds, 0, false);
-		ledger.adopt({a: [7000]}, 0);
+		ledger.adoptProfiles({a: [7000]}, 0);
 		expect(admitAll(ledger, noPeers, 0)).toBe(2000);
 	});
 
@@ -78,9 +78,9 @@
 		{name: 'the profile of a peer that started from the stored bounds as well', peerProfile: [9000], expected: 0},
 	])('starts after a restart from $name', ({peerProfile, expected}) => {
 		const ledger = new QuotaLedger(bounds, 0, false);
-		ledger.adoptWritten({a: {uses: [4000, 3000], ahead: 2000}}, 0);
+		ledger.adoptStoredBounds({a: {uses: [4000, 3000], ahead: 2000}}, 0);
 		if (peerProfile) {
-			ledger.adopt({a: peerProfile}, 100);
+			ledger.adoptProfiles({a: peerProfile}, 100);
 		}
 
 		expect(admitAll(ledger, noPeers, 200)).toBe(expected);
@@ -88,7 +88,7 @@
 
 	it('drops the history taken over after a restart from the window part by part', () => {
 		const ledger = new QuotaLedger(bounds, 0, false);
-		ledger.adoptWritten({a: {uses: [1000, 1000, 1000, 1000, 1000, 1000, 1000, 2000], ahead: 0}}, 0);
+		ledger.adoptStoredBounds({a: {uses: [1000, 1000, 1000, 1000, 1000, 1000, 1000, 2000], ahead: 0}}, 0);
 		expect([0, 2000, 6000].map(nowMs => admitAll(ledger, noPeers, nowMs))).toEqual([0, 3000, 4000]);
 	});
 
@@ -167,7 +167,7 @@
 	const reports: Array<{atMs: number; from: QuotaLedger; use: AccountUse}> = [];
 	const admitted: number[] = [];
 	const peers = {
-		daemons, silent: 0, unheardMs: reportDelayMs + (roundMs / 2), roundMs, unheardOf: 0, isAlone: false,
+		daemons, silentDaemons: 0, reportDelayMs: reportDelayMs + (roundMs / 2), reportIntervalMs: roundMs, unreportedDaemons: 0, isIsolated: false,
 	};
 	let due = 0;
 	let offered = 0;
@@ -182,7 +182,7 @@
 		// The daemons report at different times.
 		for (const [index, ledger] of ledgers.entries()) {
 			if ((atMs + (index * 35)) % roundMs < 5) {
-				const use = ledger.own().get('a') ?? {admitted: 0, refused: 0};
+				const use = ledger.ownTotals().get('a') ?? {admitted: 0, refused: 0};
 				reports.push({atMs: atMs + reportDelayMs, from: ledger, use: {admitted: use.admitted - reported[index].admitted, refused: use.refused - reported[index].refused}});
 				reported[index] = use;
 			}
@@ -191,7 +191,7 @@
 		while (reports.length > 0 && reports[0].atMs <= atMs) {
 			const {from, use} = reports.shift()!;
 			for (const other of ledgers.filter(peer => peer !== from)) {
-				other.notePeers('a', use, atMs);
+				other.addPeerUse('a', use, atMs);
 			}
 		}
 	}
@@ -242,12 +242,12 @@
 	function granted(daemons: number, requests: number): number {
 		let total = 0;
 		for (let daemon = 0; daemon < daemons; daemon++) {
-			const allowance = new RetryAllowance(bound);
+			const allowance = new RetryBudget(bound);
 			for (let index = 0; index < requests; index++) {
 				allowance.countRequest('s', 0);
 			}
 
-			while (allowance.take('s', RepeatPurpose.Retry, daemons, 0)) {
+			while (allowance.tryTake('s', RetryPurpose.Retry, daemons, 0)) {
 				total++;
 			}
 		}
@@ -261,11 +261,11 @@
 	});
 
 	it('keeps replicas that fail every request from multiplying the load', () => {
-		const allowance = new RetryAllowance(bound);
+		const allowance = new RetryBudget(bound);
 		let retries = 0;
 		for (let nowMs = 0; nowMs < 10_000; nowMs += 10) {
 			allowance.countRequest('s', nowMs);
-			retries += allowance.take('s', RepeatPurpose.Retry, 1, nowMs) ? 1 : 0;
+			retries += allowance.tryTake('s', RetryPurpose.Retry, 1, nowMs) ? 1 : 0;
 		}
 
 		expect(retries).toBeLessThanOrEqual((1000 * bound.ratio) + bound.slack);
@@ -275,12 +275,12 @@
 		{name: 'restores it within the window', givenBackAtMs: 5000, isFree: true},
 		{name: 'changes nothing after the window', givenBackAtMs: 12_000, isFree: false},
 	])('giving back an unused attempt $name', ({givenBackAtMs, isFree}) => {
-		const allowance = new RetryAllowance({ratio: 0, windowMs: 10_000, slack: 2});
-		expect(allowance.take('s', RepeatPurpose.Move, 1, 0)).toBe(true);
-		const isTakenAgain = givenBackAtMs > 10_000 && allowance.take('s', RepeatPurpose.Move, 1, givenBackAtMs);
+		const allowance = new RetryBudget({ratio: 0, windowMs: 10_000, slack: 2});
+		expect(allowance.tryTake('s', RetryPurpose.Move, 1, 0)).toBe(true);
+		const isTakenAgain = givenBackAtMs > 10_000 && allowance.tryTake('s', RetryPurpose.Move, 1, givenBackAtMs);
 		allowance.giveBack('s', 0);
-		expect(allowance.used('s', givenBackAtMs).repeats).toBe(isTakenAgain ? 1 : 0);
-		expect(allowance.take('s', RepeatPurpose.Move, 1, givenBackAtMs)).toBe(isFree);
+		expect(allowance.attemptsInWindow('s', givenBackAtMs).extraAttempts).toBe(isTakenAgain ? 1 : 0);
+		expect(allowance.tryTake('s', RetryPurpose.Move, 1, givenBackAtMs)).toBe(isFree);
 	});
 });
 
@@ -290,8 +290,8 @@
 		ledger.count('x', 12_000);
 		ledger.count('x', 14_999);
 		ledger.count('x', 15_000);
-		ledger.note('fd-a', 'b#1', 2, {x: 3, y: 1});
-		ledger.note('fd-a', 'b#1', 2, {x: 3, y: 1});
+		ledger.mergeDaemonCounts('fd-a', 'b#1', 2, {x: 3, y: 1});
+		ledger.mergeDaemonCounts('fd-a', 'b#1', 2, {x: 3, y: 1});
 		expect(ledger.total(2)).toEqual({x: 5, y: 1});
 		expect(ledger.total(3)).toEqual({x: 1});
 		expect(ledger.total(9)).toBeUndefined();
@@ -307,11 +307,11 @@
 	])('counts $name', ({relayed, direct, expected}) => {
 		const ledger = new UsageLedger('fd-a', 'a#1', 5000);
 		for (const counts of relayed) {
-			ledger.noteDomain('fd-b', 2, counts);
+			ledger.mergeDomainCounts('fd-b', 2, counts);
 		}
 
 		for (const [index, counts] of direct.entries()) {
-			ledger.note('fd-b', `b#${index}`, 2, counts);
+			ledger.mergeDaemonCounts('fd-b', `b#${index}`, 2, counts);
 		}
 
 		expect(ledger.total(2)).toEqual({x: expected});
--- a/src/coordination/__tests__/stops-under-load.test.ts
+++ b/src/coordination/__tests__/stops-under-load.test.ts
@@ -2,15 +2,15 @@
 	afterAll, beforeAll, describe, expect, it,
 } from 'vitest';
 import {checkExperiment, FaultAction} from '../../bench/experiment.js';
-import {runExperiment} from '../../bench/run.js';
+import {runExperiment} from '../../bench/experiment-runner.js';
 import {
-	pidOf, smallTopology, startTestStack, type TestStack,
+	findProcessId, buildSmallTopology, startTestStack, type TestStack,
 } from '../../testing/stack.js';
 
 let stack: TestStack;
 
 beforeAll(async () => {
-	stack = await startTestStack(smallTopology(20_000, {
+	stack = await startTestStack(buildSmallTopology(20_000, {
 		models: [{name: 'desk', replicas: 4}], services: [{name: 'settlement', replicas: 2}], gatewaySettings: {notReadyMs: 500},
 	}));
 });
@@ -37,7 +37,7 @@
 			maxTokens: {min: 30, max: 90},
 			nonIdempotentShare: 0.2,
 			service: 'settlement',
-			faults: victims.map((victim, index) => ({atMs: 500 + (index * 500), action: FaultAction.Terminate, pid: pidOf(stack, victim)})),
+			faults: victims.map((victim, index) => ({atMs: 500 + (index * 500), action: FaultAction.Terminate, pid: findProcessId(stack, victim)})),
 		}), new AbortController().signal);
 		expect(report).toMatchObject({
 			whole: report.sent, broken: 0, refused: 0, unknownOutcome: 0, failed: 0,
--- a/src/coordination/__tests__/stops.test.ts
+++ b/src/coordination/__tests__/stops.test.ts
@@ -2,9 +2,9 @@
 import {
 	afterAll, beforeAll, describe, expect, it,
 } from 'vitest';
-import {completionText} from '../../standins/engine-output.js';
+import {generateCompletionText} from '../../standins/engine-output.js';
 import {
-	pidOf, readState, receiveStream, smallTopology, startTestStack, type TestStack, waitUntil,
+	findProcessId, readState, receiveStream, buildSmallTopology, startTestStack, type TestStack, waitUntil,
 } from '../../testing/stack.js';
 
 const basePort = 24_000;
@@ -15,7 +15,7 @@
 let stack: TestStack;
 
 beforeAll(async () => {
-	stack = await startTestStack(smallTopology(basePort, {models: [{name: 'desk', replicas: 3}]}));
+	stack = await startTestStack(buildSmallTopology(basePort, {models: [{name: 'desk', replicas: 3}]}));
 });
 
 afterAll(async () => {
@@ -56,12 +56,12 @@
 			async onToken({seqs}) {
 				if (!stopped && seqs.length > 20) {
 					stopped = true;
-					process.kill(pidOf(stack, target === 'engine' ? await busyEngine() : `gateway-${gateway}`), signal);
+					process.kill(findProcessId(stack, target === 'engine' ? await busyEngine() : `gateway-${gateway}`), signal);
 				}
 			},
 		});
 		expect(stopped).toBe(true);
-		expect(received.text).toBe(completionText(prompt, maxTokens));
+		expect(received.text).toBe(generateCompletionText(prompt, maxTokens));
 		if (recomputes) {
 			const after = await readState<Counters>(adminUrl);
 			expect(after.completions.recomputedTokens).toBeGreaterThan(before.completions.recomputedTokens);
--- a/src/coordination/__tests__/topic-follower.test.ts
+++ b/src/coordination/__tests__/topic-follower.test.ts
@@ -2,28 +2,28 @@
 import {describe, expect, it} from 'vitest';
 import {SteadyClock} from '../../clock.js';
 import {Topic} from '../../protocol/platform.js';
-import {Belief} from '../../state/belief.js';
+import {ViewAge} from '../../state/view-age.js';
 import {FakeStore} from '../../testing/fake-store.js';
 import {waitUntil} from '../../testing/stack.js';
 import {TopicFollower} from '../topic-follower.js';
 
-type Following = {seen: string[]; viewAge: Belief; stop: AbortController; clock: SteadyClock; follower: TopicFollower};
+type Following = {seen: string[]; viewAge: ViewAge; stop: AbortController; clock: SteadyClock; follower: TopicFollower};
 
 function follow(store: FakeStore, {maxRelayAgeMs = 0, canSkipToNewest = false} = {}): Following {
 	const seen: string[] = [];
-	const viewAge = new Belief();
+	const viewAge = new ViewAge();
 	const stop = new AbortController();
 	const clock = new SteadyClock();
 	const follower = new TopicFollower({
 		store,
 		topic: Topic.Config,
-		belief: viewAge,
+		viewAge,
 		clock,
 		waitMs: () => 5,
-		carriedMs: () => maxRelayAgeMs,
-		mostBytes: 1024,
-		isNewestEnough: canSkipToNewest,
-		gatherMs: 0,
+		maxRelayAgeMs: () => maxRelayAgeMs,
+		maxBytes: 1024,
+		canSkipToNewest,
+		batchDelayMs: 0,
 		sink: {
 			reset(records) {
 				seen.push(`reset ${records.map(record => record.key).join(',')}`);
@@ -84,7 +84,7 @@
 		await waitUntil(async () => viewAge.isKnown, 1000);
 		store.isDown = true;
 		await delay(4000);
-		expect(store.refusals).toBeLessThanOrEqual(12);
+		expect(store.failedCalls).toBeLessThanOrEqual(12);
 		store.isDown = false;
 		await waitUntil(async () => viewAge.ageMs(clock.now()) < 100, 1000);
 		stop.abort();
@@ -96,10 +96,10 @@
 		const store = new FakeStore();
 		const {viewAge, stop, clock} = follow(store);
 		await waitUntil(async () => viewAge.isKnown, 1000);
-		store.mostRecords = 0;
+		store.maxRecordsPerRead = 0;
 		store.put(Topic.Config, 'a', '1');
 		await waitUntil(async () => viewAge.ageMs(clock.now()) > 300, 2000);
-		store.mostRecords = 1;
+		store.maxRecordsPerRead = 1;
 		await waitUntil(async () => viewAge.ageMs(clock.now()) < 100, 2000);
 		stop.abort();
 	});
@@ -109,7 +109,7 @@
 		{name: 'only the newest record', canSkipToNewest: true, applied: 1},
 	])('applies $name when one read does not return all of them', async ({canSkipToNewest, applied}) => {
 		const store = new FakeStore();
-		store.mostRecords = 1;
+		store.maxRecordsPerRead = 1;
 		const {viewAge, seen, stop, follower} = follow(store, {canSkipToNewest});
 		await waitUntil(async () => viewAge.isKnown, 1000);
 		seen.length = 0;
@@ -135,7 +135,7 @@
 		const {clock, viewAge, follower} = following;
 		await waitUntil(async () => viewAge.isKnown, 1000);
 		const confirm = (next: number, ageMs = 0) => {
-			follower.hear({next, ageMs, records: []}, clock.now(), clock.now());
+			follower.applyRelayUpdate({next, ageMs, records: []}, clock.now(), clock.now());
 		};
 
 		confirm(2);
@@ -145,16 +145,16 @@
 
 	it('does not read the store while they confirm its view, and reads again when they stop', async () => {
 		const {store, stop, confirm, viewAge, clock} = await startRelayConfirmed();
-		const readsBefore = store.reads;
+		const readsBefore = store.answeredReads;
 		for (let index = 0; index < 6; index++) {
 			confirm(2);
 			// eslint-disable-next-line no-await-in-loop -- the confirmations are spaced in time.
 			await delay(50);
 		}
 
-		expect(store.reads).toBe(readsBefore);
+		expect(store.answeredReads).toBe(readsBefore);
 		expect(viewAge.ageMs(clock.now())).toBeLessThan(200);
-		await waitUntil(async () => store.reads > readsBefore, 1000);
+		await waitUntil(async () => store.answeredReads > readsBefore, 1000);
 		stop.abort();
 	});
 
@@ -164,10 +164,10 @@
 	])('reads the store after an update of $name', async ({next, ageMs}) => {
 		const {store, stop, seen, confirm} = await startRelayConfirmed();
 		store.put(Topic.Config, 'c', '1');
-		const readsBefore = store.reads;
+		const readsBefore = store.answeredReads;
 		await delay(300);
 		confirm(next, ageMs);
-		await waitUntil(async () => store.reads > readsBefore, 1000);
+		await waitUntil(async () => store.answeredReads > readsBefore, 1000);
 		stop.abort();
 		expect(seen.length).toBeGreaterThan(0);
 	});
@@ -177,19 +177,19 @@
 		const before = seen.length;
 		const first = [2, 'c', value] as [number, string, Uint8Array];
 		const second = [3, 'd', value] as [number, string, Uint8Array];
-		follower.hear({next: 4, ageMs: 0, records: [first]}, clock.now(), clock.now());
-		follower.hear({next: 4, ageMs: 0, records: [first, second]}, clock.now(), clock.now());
-		follower.hear({next: 3, ageMs: 0, records: [first]}, clock.now(), clock.now());
+		follower.applyRelayUpdate({next: 4, ageMs: 0, records: [first]}, clock.now(), clock.now());
+		follower.applyRelayUpdate({next: 4, ageMs: 0, records: [first, second]}, clock.now(), clock.now());
+		follower.applyRelayUpdate({next: 3, ageMs: 0, records: [first]}, clock.now(), clock.now());
 		expect(seen.slice(before)).toEqual(['c', 'd']);
 		expect(follower.nextOffset).toBe(4);
-		expect(follower.newsFor(3, clock.now())?.records).toEqual([second]);
+		expect(follower.createUpdateFor(3, clock.now())?.records).toEqual([second]);
 		stop.abort();
 	});
 
 	it('takes its view to be as old as the relay reports, counted from when the request was sent', async () => {
 		const {stop, clock, viewAge, follower} = await startRelayConfirmed();
 		const nowMs = clock.now();
-		follower.hear({next: 2, ageMs: 100, records: []}, nowMs + 1000, nowMs + 1200);
+		follower.applyRelayUpdate({next: 2, ageMs: 100, records: []}, nowMs + 1000, nowMs + 1200);
 		expect(viewAge.ageMs(nowMs + 1200)).toBeCloseTo(300, 0);
 		stop.abort();
 	});
--- a/src/coordination/admission.ts
+++ b/src/coordination/admission.ts
@@ -33,7 +33,7 @@
 }
 
 /** Admits requests by the limits of each client account. */
-export class Limits {
+export class AccountLimiter {
 	/** Returns the limit of an account under a preset: its own, else the preset's default, else {@link defaultLimit}. */
 	static limitOf(preset: Preset | undefined, account: string): AccountLimit {
 		return preset?.limits.accounts?.[account] ?? preset?.limits.default ?? defaultLimit;
--- a/src/coordination/backend-directory.ts
+++ b/src/coordination/backend-directory.ts
@@ -78,7 +78,7 @@
 	}
 
 	/** Returns the backend servers of a kind that may receive new work. */
-	takingWork(kind: BackendKind): BackendServer[] {
+	acceptingWork(kind: BackendKind): BackendServer[] {
 		const drained = this.drained();
 		return [...this.entries.values()]
 			.filter(entry => entry.state === BackendState.Ready && entry.backend.kind === kind && !drained.has(entry.backend.id))
@@ -97,7 +97,7 @@
 	}
 
 	/** Marks a backend server as leaving at `nowMs`; only the first source that reports it is recorded. */
-	noteLeaving(id: string, source: LeavingSource, leavesAtMs: number | undefined, nowMs: number): void {
+	markLeaving(id: string, source: LeavingSource, leavesAtMs: number | undefined, nowMs: number): void {
 		const entry = this.entries.get(id);
 		if (entry?.state !== BackendState.Ready) {
 			return;
@@ -122,7 +122,7 @@
 
 		for (const [id, entry] of this.entries) {
 			if (entry.listed && !listed.has(id) && entry.state !== BackendState.Gone) {
-				this.noteLeaving(id, LeavingSource.VmList, nowMs, nowMs);
+				this.markLeaving(id, LeavingSource.VmList, nowMs, nowMs);
 				entry.state = BackendState.Gone;
 				entry.goneAtMs = nowMs;
 			}
@@ -143,7 +143,7 @@
 		if (known) {
 			known.listed = true;
 			if (vm.state === VmState.Leaving) {
-				this.noteLeaving(vm.name, LeavingSource.VmList, vm.leavesAtMs, nowMs);
+				this.markLeaving(vm.name, LeavingSource.VmList, vm.leavesAtMs, nowMs);
 			}
 
 			return;
--- a/src/coordination/completions.ts
+++ b/src/coordination/completions.ts
@@ -16,8 +16,8 @@
 import {type BackendDirectory, type BackendEntry} from './backend-directory.js';
 import {type LoadTracker} from './load-tracker.js';
 import {ChunkSequencer} from './chunk-sequencer.js';
-import {type CompletionJob, ActiveCompletion} from './flight.js';
-import {defaultRetryBound, RepeatPurpose, RetryAllowance} from './retry-allowance.js';
+import {type CompletionJob, ActiveCompletion} from './active-completion.js';
+import {defaultRetryLimits, RetryPurpose, RetryBudget} from './retry-budget.js';
 import {chooseBackend, defaultAffinitySlack, servesModel} from './router.js';
 import {
 	CoordinationError, NoBackendError, OutcomeUnknownError, StreamBrokenError,
@@ -40,7 +40,7 @@
 	seq: number;
 	text: string;
 	/** Whether it is the last token of the completion. */
-	last: boolean;
+	isLast: boolean;
 	/** Id of the engine that generated it. */
 	engine: string;
 };
@@ -64,7 +64,7 @@
 	/** Number of streams moved together with their KV cache. */
 	kvMoves = 0;
 	private readonly activeCompletions = new Set<ActiveCompletion>();
-	private readonly retries = new RetryAllowance(defaultRetryBound);
+	private readonly retries = new RetryBudget(defaultRetryLimits);
 
 	constructor(private readonly context: CompletionsContext) {
 		context.directory.onLeaving(entry => {
@@ -138,7 +138,7 @@
 				for (const due of sequencer.accept(chunk)) {
 					completion.countToken(performance.now());
 					yield {
-						seq: due.seq, text: due.choices[0].text, last: completion.delivered >= job.maxTokens, engine: engine.id,
+						seq: due.seq, text: due.choices[0].text, isLast: completion.delivered >= job.maxTokens, engine: engine.id,
 					};
 				}
 
@@ -222,7 +222,7 @@
 
 	private enginesFor(model: string): BackendServer[] {
 		const {directory, loads} = this.context;
-		return directory.takingWork(BackendKind.Engine).filter(engine => servesModel(engine, loads.views.get(engine.id), model));
+		return directory.acceptingWork(BackendKind.Engine).filter(engine => servesModel(engine, loads.views.get(engine.id), model));
 	}
 
 	private async handleFailedRun(completion: ActiveCompletion, engine: BackendServer, error: unknown): Promise<void> {
@@ -241,7 +241,7 @@
 		log.warn('engine failed.', {
 			request: completion.job.requestId, engine: engine.id, delivered: completion.delivered, error: String(error),
 		});
-		const isRetryAllowed = completion.hasDelivered || this.retries.take(completion.job.model, RepeatPurpose.Retry, 1, Date.now());
+		const isRetryAllowed = completion.hasDelivered || this.retries.tryTake(completion.job.model, RetryPurpose.Retry, 1, Date.now());
 		if (completion.failures >= maxFailures || !isRetryAllowed) {
 			throw this.createFinalError(completion, error);
 		}
--- a/src/coordination/lease.ts
+++ b/src/coordination/controller-lease.ts
@@ -35,7 +35,7 @@
 
 type PendingRecord = {id: string; kind: LeaseRecordKind; sent: Instant};
 
-/** Options of a {@link LeaseKeeper}. */
+/** Options of a {@link ControllerLease}. */
 export type ControllerLeaseOptions = {
 	platformLog: PlatformLog;
 	table: LeaseTable;
@@ -46,7 +46,7 @@
 };
 
 /** One gateway's view of the controller lease, and its attempts to acquire and renew it. */
-export class LeaseKeeper {
+export class ControllerLease {
 	/** Number of appends to the lease stream. */
 	appends = 0;
 	private readonly options: ControllerLeaseOptions;
@@ -108,7 +108,7 @@
 	 * Releases the lease if this gateway holds it, so that another may claim it at once.
 	 * Must only be called once every order sent under it was answered.
 	 */
-	async giveUp(): Promise<void> {
+	async release(): Promise<void> {
 		const token = this.tokenAt(readClocks());
 		if (token === undefined) {
 			return;
@@ -117,7 +117,7 @@
 		const {table, holder} = this.options;
 		this.renewalSentAt = undefined;
 		await this.append({
-			kind: LeaseRecordKind.Release, id: randomUUID(), holder, base: table.last, token,
+			kind: LeaseRecordKind.Release, id: randomUUID(), holder, base: table.lastAcceptedOffset, token,
 		}, readClocks());
 	}
 
@@ -154,7 +154,7 @@
 			return undefined;
 		}
 
-		const fields = {id: randomUUID(), holder, base: table.last};
+		const fields = {id: randomUUID(), holder, base: table.lastAcceptedOffset};
 		if (this.tokenAt(now) !== undefined) {
 			const isDue = now.monotonicMs - this.renewalSentAt!.monotonicMs >= renewEveryMs / 2;
 			return isDue ? {...fields, kind: LeaseRecordKind.Renew, token: this.token} : undefined;
@@ -162,7 +162,7 @@
 
 		const silentMs = now.monotonicMs - this.lastValidReadMs;
 		if (!table.isCertain && silentMs > leaseMs * leasesUntilTrusted) {
-			table.trust();
+			table.assumeCertain();
 		}
 
 		const expiryMs = table.lease === undefined ? 0 : leaseMs * (1 + claimMarginShare);
@@ -184,7 +184,7 @@
 	/** Returns a delay in milliseconds that differs per gateway and lease, so that not all gateways claim at the same moment. */
 	private claimJitterMs(): number {
 		const {table, holder, leaseMs} = this.options;
-		return (affinityScore(String(table.last), holder) / (2 ** 32)) * leaseMs * claimJitterShare;
+		return (affinityScore(String(table.lastAcceptedOffset), holder) / (2 ** 32)) * leaseMs * claimJitterShare;
 	}
 
 	private async append(record: LeaseRecord, sent: Instant): Promise<void> {
--- a/src/coordination/own-record.ts
+++ b/src/coordination/daemon-record.ts
@@ -19,7 +19,7 @@
  * @param what A name of the record for the log.
  * @returns Undefined when the value is not valid JSON or `isValid` rejects it.
  */
-export function readOwnRecord<T>(value: Uint8Array, isValid: (value: unknown) => value is T, what: string): T | undefined {
+export function decodeDaemonRecord<T>(value: Uint8Array, isValid: (value: unknown) => value is T, what: string): T | undefined {
 	let parsed: unknown;
 	try {
 		parsed = JSON.parse(Buffer.from(value).toString('utf8'));
--- a/src/coordination/duty-lease.ts
+++ b/src/coordination/duty-lease.ts
@@ -14,8 +14,8 @@
 import {type RecordBatch, type Store, Topic} from '../protocol/platform.js';
 import {type SteadyClock} from '../clock.js';
 import {createLogger} from '../log.js';
-import {type HolderNews} from '../protocol/fleet-messages.js';
-import {fieldsOf, readOwnRecord} from './own-record.js';
+import {type HolderUpdate} from '../protocol/fleet-messages.js';
+import {fieldsOf, decodeDaemonRecord} from './daemon-record.js';
 
 const log = createLogger('lease');
 
@@ -57,7 +57,7 @@
 	/** Position of this daemon among those that may claim; undefined for a daemon that leaves claims to the relays, which receive all daemons' updates first. */
 	rank: number | undefined;
 	/** Whether at least half of the recently seen daemons are responsive. */
-	hearsMost: boolean;
+	isMajorityResponsive: boolean;
 	/** When the holder was last known to be alive; undefined if it never was. */
 	holderLastSeenAtMs: number | undefined;
 	startedAtMs: number;
@@ -65,13 +65,13 @@
 
 /** Whether this daemon should try to claim the duties. */
 export function shouldClaim(inputs: ClaimInputs, nowMs: number): boolean {
-	const {rank, hearsMost, holderLastSeenAtMs, startedAtMs} = inputs;
+	const {rank, isMajorityResponsive, holderLastSeenAtMs, startedAtMs} = inputs;
 	if (rank === undefined) {
 		return false;
 	}
 
 	const silentForMs = nowMs - (holderLastSeenAtMs ?? startedAtMs);
-	if (!hearsMost) {
+	if (!isMajorityResponsive) {
 		return silentForMs > isolatedTimeoutMs;
 	}
 
@@ -127,7 +127,7 @@
 	}
 
 	/** Returns what this daemon reports to its peers about the holder. */
-	news(nowMs: number): HolderNews | undefined {
+	createHolderUpdate(nowMs: number): HolderUpdate | undefined {
 		if (this.isConfirmedAt(nowMs)) {
 			return {token: this.newestClaim!.token, ageMs: 0};
 		}
@@ -136,7 +136,7 @@
 	}
 
 	/** Applies a peer's report about the holder. */
-	hear(update: HolderNews, nowMs: number): void {
+	applyHolderUpdate(update: HolderUpdate, nowMs: number): void {
 		if (update.token < (this.newestClaim?.token ?? 0)) {
 			return;
 		}
@@ -219,13 +219,13 @@
 		const sentAtMs = this.clock.now();
 		let batch: RecordBatch | undefined;
 		if (this.nextOffset !== undefined) {
-			batch = await this.store.read(Topic.Duties, this.nextOffset, {waitMs, answerMs: answerTimeoutMs, mostBytes: maxReadBytes}, signal);
+			batch = await this.store.read(Topic.Duties, this.nextOffset, {waitMs, answerMs: answerTimeoutMs, maxBytes: maxReadBytes}, signal);
 		}
 
-		batch ??= await this.store.newest(Topic.Duties, answerTimeoutMs, signal);
+		batch ??= await this.store.readNewest(Topic.Duties, answerTimeoutMs, signal);
 		for (const record of batch.records) {
 			if (record.key === String(DutyKey.Claim) && record.value) {
-				const claim = readOwnRecord(record.value, isClaimRecord, 'claim of the duties');
+				const claim = decodeDaemonRecord(record.value, isClaimRecord, 'claim of the duties');
 				if (claim) {
 					this.applyClaim(claim.holder, record.offset, this.clock.now());
 				}
--- a/src/coordination/duty-runner.ts
+++ b/src/coordination/duty-runner.ts
@@ -17,7 +17,7 @@
 import {type RouteTable} from '../state/route-table.js';
 import {createLogger} from '../log.js';
 import {type DutyLease} from './duty-lease.js';
-import {fieldsOf, readOwnRecord} from './own-record.js';
+import {fieldsOf, decodeDaemonRecord} from './daemon-record.js';
 import {type DomainState, planPool, type PoolNeed} from './pool-plan.js';
 import {type UsageLedger} from './usage-ledger.js';
 
@@ -71,9 +71,9 @@
 	name: string;
 	usageWindowMs: number;
 	/** Returns how stable the list of backend servers is. */
-	list: (nowMs: number) => ListStability;
+	listStability: (nowMs: number) => ListStability;
 	/** Returns the replicas that a service needs now. */
-	need: (service: Service) => PoolNeed;
+	poolNeed: (service: Service) => PoolNeed;
 };
 
 /** Performs the duties of the holder. */
@@ -101,7 +101,7 @@
 		}
 
 		const committed = this.committedReport();
-		const newestWindow = usage.windowAt(clock.wallNow() - countsDelayMs) - 1;
+		const newestWindow = usage.windowAt(clock.wallTimeMs() - countsDelayMs) - 1;
 		if (committed && committed.window > (this.reportedWindow ?? -1) && committed.window >= newestWindow - lookbackWindows) {
 			await this.sendReport(committed, signal);
 			return;
@@ -137,11 +137,11 @@
 
 	private committedReport(): CommittedReport | undefined {
 		const record = this.parts.lease.usageRecord;
-		return record && readOwnRecord(record, isCommittedReport, 'committed usage report');
+		return record && decodeDaemonRecord(record, isCommittedReport, 'committed usage report');
 	}
 
 	private async orderPools(signal: AbortSignal): Promise<void> {
-		const {clock, list} = this.parts;
+		const {clock, listStability: list} = this.parts;
 		if (!isListComplete(list(clock.now()))) {
 			return;
 		}
@@ -156,7 +156,7 @@
 
 	private async orderPool(service: Service, signal: AbortSignal): Promise<void> {
 		const scaling = service.scaling!;
-		const need = this.parts.need(service);
+		const need = this.parts.poolNeed(service);
 		const states = new Map([...scaling.prices.keys()].map(failureDomain => [failureDomain, this.domainState(service.name, failureDomain, scaling.bootMs)]));
 		const wanted = planPool(scaling, need, states).flatMap(pool => [
 			// Reclaimable VMs come first, so that no VM is released before its replacement is ordered.
--- a/src/coordination/fleet-controller.ts
+++ b/src/coordination/fleet-controller.ts
@@ -24,7 +24,7 @@
 import {isSnapshotDue, writeSnapshot} from './config-snapshots.js';
 import {DemandWindow} from './demand-window.js';
 import {type FleetPlan, type Offer, planFleet} from './fleet-plan.js';
-import {type LeaseKeeper} from './lease.js';
+import {type ControllerLease} from './controller-lease.js';
 import {type LoadTracker} from './load-tracker.js';
 
 const log = createLogger('controller');
@@ -40,7 +40,7 @@
 
 /** The dependencies and settings of the controller. */
 export type ControllerOptions = {
-	lease: LeaseKeeper;
+	lease: ControllerLease;
 	config: ConfigTable;
 	platformLog: PlatformLog;
 	loads: LoadTracker;
--- a/src/coordination/fleet/__fixtures__/test-net.ts
+++ b/src/coordination/fleet/__fixtures__/test-net.ts
@@ -4,9 +4,9 @@
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {SteadyClock} from '../../../clock.js';
 import {type Account} from '../../../protocol/serving.js';
-import {type PeerAddress, type ToldTopic} from '../../../protocol/fleet-messages.js';
+import {type PeerAddress, type GossipedTopic} from '../../../protocol/fleet-messages.js';
 import {Topic} from '../../../protocol/platform.js';
-import {Belief} from '../../../state/belief.js';
+import {ViewAge} from '../../../state/view-age.js';
 import {FakeStore} from '../../../testing/fake-store.js';
 import {sumOfProfile} from '../../account-window.js';
 import {DutyLease} from '../../duty-lease.js';
@@ -19,12 +19,12 @@
 import {UsageLedger} from '../../usage-ledger.js';
 import {BoundsRecord} from '../bounds-record.js';
 import {FleetMessenger} from '../fleet-messenger.js';
-import {roundMs} from '../peer-census.js';
+import {reportIntervalMs} from '../peer-counter.js';
 import {FleetRole, FleetTable} from '../fleet-table.js';
-import {chooseSenders} from '../sender-choice.js';
+import {selectSenders} from '../sender-selection.js';
 
 export const account: Account = {
-	name: 'x', apiKeys: [], priority: undefined, ratePerSecond: 1_000_000, burst: 1_000_000, countsTokens: true, plainTokens: 1,
+	name: 'x', apiKeys: [], priority: undefined, ratePerSecond: 1_000_000, burst: 1_000_000, countsTokens: true, defaultTokenCost: 1,
 };
 /** Step of the simulated time, in milliseconds. */
 export const tickMs = 10;
@@ -44,8 +44,8 @@
 	readonly quarantine: Quarantine;
 	readonly quarantineRecord: QuarantineRecord;
 	readonly statedLimits: StatedLimits;
-	readonly topics: Record<ToldTopic, TopicFollower>;
-	readonly beliefs = {[Topic.Config]: new Belief(), [Topic.Backends]: new Belief()};
+	readonly topics: Record<GossipedTopic, TopicFollower>;
+	readonly beliefs = {[Topic.Config]: new ViewAge(), [Topic.Backends]: new ViewAge()};
 	readonly backendsSeen: string[] = [];
 
 	constructor(readonly name: string, readonly failureDomain: string, readonly host: string, net: TestNet) {
@@ -56,7 +56,7 @@
 		this.quota = new QuotaLedger(net.bounds, startedAtMs, net.isFirstStart);
 		this.usage = new UsageLedger(failureDomain, incarnation, 5000);
 		this.placement = new Placement(failureDomain);
-		const follow = (topic: ToldTopic, seen: string[]) => new TopicFollower({
+		const follow = (topic: GossipedTopic, seen: string[]) => new TopicFollower({
 			store: net.store,
 			topic,
 			sink: {
@@ -67,24 +67,24 @@
 					seen.push(record.key);
 				},
 			},
-			belief: this.beliefs[topic],
+			viewAge: this.beliefs[topic],
 			clock,
 			waitMs: () => 0,
-			mostBytes: 1024,
-			isNewestEnough: false,
-			gatherMs: 0,
-			carriedMs: () => this.fleet.roleAt(net.nowMs) === FleetRole.Leaf ? 2000 : 0,
+			maxBytes: 1024,
+			canSkipToNewest: false,
+			batchDelayMs: 0,
+			maxRelayAgeMs: () => this.fleet.roleAt(net.nowMs) === FleetRole.Leaf ? 2000 : 0,
 		});
 		this.topics = {[Topic.Config]: follow(Topic.Config, []), [Topic.Backends]: follow(Topic.Backends, this.backendsSeen)};
 		this.lease = new DutyLease(net.store, incarnation, 3000, clock);
 		this.bounds = new BoundsRecord({
-			store: net.store, quota: this.quota, lease: this.lease, clock, roundMs,
+			store: net.store, quota: this.quota, lease: this.lease, clock, roundMs: reportIntervalMs,
 		});
 		this.quarantine = new Quarantine(nowMs => this.lease.tokenAt(nowMs) !== undefined);
 		this.quarantineRecord = new QuarantineRecord({
 			store: net.store, quarantine: this.quarantine, lease: this.lease, clock,
 		});
-		this.statedLimits = new StatedLimits((backend, most, nowMs) => chooseSenders(this.fleet, name, backend, most, nowMs));
+		this.statedLimits = new StatedLimits((backend, most, nowMs) => selectSenders(this.fleet, name, backend, most, nowMs));
 		this.messenger = new FleetMessenger({
 			settings: {
 				name, failureDomain, host, peerPort: 1, bounds: {quotaWindowMs: net.bounds.windowMs},
@@ -160,12 +160,12 @@
 			this.inTransit = this.inTransit.filter(({atMs}) => atMs > this.nowMs);
 			for (const {bytes, to} of due) {
 				const receiver = this.daemons.find(daemon => daemon.host === to.host && daemon.isRunning);
-				receiver?.messenger.hear(unpack(bytes));
+				receiver?.messenger.receive(unpack(bytes));
 			}
 
 			for (const [index, daemon] of this.daemons.entries()) {
-				if (daemon.isRunning && (this.nowMs + (index * 30)) % roundMs < tickMs) {
-					daemon.messenger.report();
+				if (daemon.isRunning && (this.nowMs + (index * 30)) % reportIntervalMs < tickMs) {
+					daemon.messenger.sendReports();
 				}
 			}
 
--- a/src/coordination/fleet/__tests__/fleet-messenger.test.ts
+++ b/src/coordination/fleet/__tests__/fleet-messenger.test.ts
@@ -5,7 +5,7 @@
 	account, startNet, type TestDaemon, tickMs,
 } from '../__fixtures__/test-net.js';
 import {backendKey} from '../backend-key.js';
-import {roundMs} from '../peer-census.js';
+import {reportIntervalMs} from '../peer-counter.js';
 import {FleetRole} from '../fleet-table.js';
 
 /** Lets each daemon read the store, one after the other. */
@@ -74,7 +74,7 @@
 	it('reports the usage of all daemons to a duty holder that is not a relay', async () => {
 		const net = await startNet(86, 4);
 		const holder = net.daemons.find(daemon => daemon.fleet.roleAt(net.nowMs) === FleetRole.Leaf)!;
-		await holder.lease.step({rank: 0, hearsMost: true, startedAtMs: -10_000}, new AbortController().signal);
+		await holder.lease.step({rank: 0, isMajorityResponsive: true, startedAtMs: -10_000}, new AbortController().signal);
 		for (const daemon of net.daemons) {
 			daemon.usage.count('x', net.nowMs);
 		}
@@ -139,9 +139,9 @@
 		expect(net.roles()).toEqual({mesh: 0, relay: 8, leaf: 77});
 		// The daemon that replaced it may miss the admissions of one round; the daemons that report to it may count those in transit twice.
 		expect(net.countedAdmissions().filter(sum => sum === admitted).length).toBeGreaterThanOrEqual(64);
-		expect(Math.max(...net.countedAdmissions())).toBeLessThan(admitted + (100 * roundMs / tickMs));
+		expect(Math.max(...net.countedAdmissions())).toBeLessThan(admitted + (100 * reportIntervalMs / tickMs));
 		expect(net.countedAdmissions().toSorted((a, b) => a - b).at(1)).toBe(admitted);
-		expect(Math.min(...net.countedAdmissions())).toBeGreaterThan(admitted - (100 * roundMs / tickMs));
+		expect(Math.min(...net.countedAdmissions())).toBeGreaterThan(admitted - (100 * reportIntervalMs / tickMs));
 		expect(Math.max(...net.runningDaemons().map(daemon => daemon.fleet.silent(net.nowMs)))).toBe(1);
 	});
 
@@ -285,7 +285,7 @@
 		net.store.isDown = isDown;
 		await restarted.messenger.discover(new AbortController().signal).catch(() => undefined);
 		net.run(9000);
-		expect(restarted.messenger.discoverPauseMs).toBe(pauseMs);
+		expect(restarted.messenger.discoveryIntervalMs).toBe(pauseMs);
 	});
 
 	it('keeps the traffic of a leaf daemon independent of the size of its failure domain', async () => {
--- a/src/coordination/fleet/__tests__/limits-after-kill.test.ts
+++ b/src/coordination/fleet/__tests__/limits-after-kill.test.ts
@@ -4,7 +4,7 @@
 import {
 	account as anyAccount, startNet, type TestDaemon, tickMs,
 } from '../__fixtures__/test-net.js';
-import {checkMs} from '../bounds-record.js';
+import {boundsCheckMs} from '../bounds-record.js';
 
 const {signal} = new AbortController();
 const bounds = {windowMs: 8000, tolerance: 0.1, slack: 140_000};
@@ -49,14 +49,14 @@
 	};
 
 	const holder = net.daemons[0];
-	await holder.lease.step({rank: 0, hearsMost: true, startedAtMs: -10_000}, signal);
+	await holder.lease.step({rank: 0, isMajorityResponsive: true, startedAtMs: -10_000}, signal);
 	while (net.nowMs < startMs + killAtMs) {
-		net.run(checkMs, sendRequests);
-		await holder.lease.step({rank: 0, hearsMost: true, startedAtMs: -10_000}, signal); // eslint-disable-line no-await-in-loop -- in the order of time.
+		net.run(boundsCheckMs, sendRequests);
+		await holder.lease.step({rank: 0, isMajorityResponsive: true, startedAtMs: -10_000}, signal); // eslint-disable-line no-await-in-loop -- in the order of time.
 		await holder.bounds.save(signal); // eslint-disable-line no-await-in-loop
 	}
 
-	net.run(random() * checkMs, sendRequests);
+	net.run(random() * boundsCheckMs, sendRequests);
 
 	for (const daemon of net.daemons) {
 		daemon.isRunning = false;
@@ -158,8 +158,8 @@
 	const holder = net.daemons.at(-1)!;
 	const runUntil = async (atMs: number) => {
 		while (net.nowMs < startMs + atMs) {
-			net.run(checkMs, sendRequests);
-			await holder.lease.step({rank: 0, hearsMost: true, startedAtMs: -10_000}, signal); // eslint-disable-line no-await-in-loop -- in the order of time.
+			net.run(boundsCheckMs, sendRequests);
+			await holder.lease.step({rank: 0, isMajorityResponsive: true, startedAtMs: -10_000}, signal); // eslint-disable-line no-await-in-loop -- in the order of time.
 			await holder.bounds.save(signal); // eslint-disable-line no-await-in-loop
 		}
 	};
--- a/src/coordination/fleet/__tests__/quarantine-updates.test.ts
+++ b/src/coordination/fleet/__tests__/quarantine-updates.test.ts
@@ -10,12 +10,12 @@
 /** Records a crash of a different backend server at each of the daemons. */
 function recordCrashes(daemons: TestDaemon[], net: TestNet): void {
 	for (const [index, daemon] of daemons.entries()) {
-		daemon.quarantine.noteCrash(fingerprint, index + 1, net.nowMs);
+		daemon.quarantine.recordCrash(fingerprint, index + 1, net.nowMs);
 	}
 }
 
 /** Names of the running daemons that would still send the request. */
-const unawareDaemons = (net: TestNet) => net.runningDaemons().filter(({quarantine}) => !quarantine.forbidsRepeat(fingerprint)).map(({name}) => name);
+const unawareDaemons = (net: TestNet) => net.runningDaemons().filter(({quarantine}) => !quarantine.forbidsRetry(fingerprint)).map(({name}) => name);
 
 describe('a request that crashed one backend server at each of three daemons', () => {
 	it.each([
@@ -69,16 +69,16 @@
 		const restarted = net.restart(net.daemons.at(-1)!);
 		await restarted.messenger.discover(new AbortController().signal);
 		net.run(propagationMs);
-		expect(restarted.quarantine.forbidsRepeat(fingerprint)).toBe(true);
+		expect(restarted.quarantine.forbidsRetry(fingerprint)).toBe(true);
 	}, 60_000);
 
 	it('is still known after all daemons restart at once', async () => {
 		const net = await startNet(6, 4);
 		const {signal} = new AbortController();
 		const [holder] = net.daemons;
-		await holder.lease.step({rank: 0, hearsMost: true, startedAtMs: 0}, signal);
+		await holder.lease.step({rank: 0, isMajorityResponsive: true, startedAtMs: 0}, signal);
 		net.run(5000);
-		await holder.lease.step({rank: 0, hearsMost: true, startedAtMs: 0}, signal);
+		await holder.lease.step({rank: 0, isMajorityResponsive: true, startedAtMs: 0}, signal);
 		recordCrashes(net.daemons.slice(0, crashesToQuarantine), net);
 		net.run(propagationMs);
 		await holder.quarantineRecord.save(signal);
--- a/src/coordination/fleet/__tests__/stated-limit-updates.test.ts
+++ b/src/coordination/fleet/__tests__/stated-limit-updates.test.ts
@@ -1,6 +1,6 @@
 /** Guards against a fleet that exceeds a backend server's stated limit because each daemon learns it only from the answers that it receives itself, and all daemons send at once. */
 import {describe, expect, it} from 'vitest';
-import {Permission} from '../../stated-limits.js';
+import {SendPermission} from '../../stated-limits.js';
 import {startNet, type TestDaemon, type TestNet} from '../__fixtures__/test-net.js';
 
 const backendId = 'i-limited';
@@ -35,7 +35,7 @@
 	/** Sends one request of a daemon if it is permitted; without a limit only at every fiftieth step, since there are other backend servers. */
 	private sendIfPermitted({statedLimits}: TestDaemon): void {
 		const {nowMs} = this.net;
-		if (statedLimits.permission(backendId, nowMs) === Permission.Withheld || (!statedLimits.isLimited(backendId) && nowMs % 500 !== 0)) {
+		if (statedLimits.permission(backendId, nowMs) === SendPermission.Withheld || (!statedLimits.isLimited(backendId) && nowMs % 500 !== 0)) {
 			return;
 		}
 
@@ -118,7 +118,7 @@
 
 		isolated.statedLimits.noteStated(backendId, 1, net.nowMs);
 		net.run(3000);
-		expect(isolated.statedLimits.permission(backendId, net.nowMs)).toBe(Permission.Withheld);
+		expect(isolated.statedLimits.permission(backendId, net.nowMs)).toBe(SendPermission.Withheld);
 	});
 
 	it.each([
--- a/src/coordination/fleet/backend-updates.ts
+++ b/src/coordination/fleet/backend-updates.ts
@@ -22,8 +22,8 @@
 	/** Creates messages with the latest changes, and with `includesAll` also with everything in force, for daemons that have just started. */
 	createMessages(sender: Sender, includesAll: boolean, nowMs: number): Array<SuspectList | LimitList> {
 		const {quarantine, statedLimits} = this.parts;
-		const suspects = quarantine.isEmpty ? [] : quarantine.news(includesAll, nowMs);
-		const limits = statedLimits.isEmpty ? [] : statedLimits.news(includesAll, nowMs);
+		const suspects = quarantine.isEmpty ? [] : quarantine.recentUpdates(includesAll, nowMs);
+		const limits = statedLimits.isEmpty ? [] : statedLimits.updates(includesAll, nowMs);
 		return [
 			...chunk(suspects).map(part => ({kind: FleetMessageKind.Suspects as const, sender, suspects: part})),
 			...chunk(limits).map(part => ({kind: FleetMessageKind.Limits as const, sender, limits: part})),
@@ -33,12 +33,12 @@
 	/** Processes a message of another daemon, whose updates are forwarded with `shouldForward`; returns false if the message is of another kind. */
 	receive(message: FleetMessage, shouldForward: boolean, nowMs: number): message is SuspectList | LimitList {
 		if (message.kind === FleetMessageKind.Suspects) {
-			this.parts.quarantine.hear(message.suspects, shouldForward, nowMs);
+			this.parts.quarantine.applyUpdates(message.suspects, shouldForward, nowMs);
 			return true;
 		}
 
 		if (message.kind === FleetMessageKind.Limits) {
-			this.parts.statedLimits.hear(message.limits, shouldForward, nowMs);
+			this.parts.statedLimits.applyUpdates(message.limits, shouldForward, nowMs);
 			return true;
 		}
 
--- a/src/coordination/fleet/bounds-record.ts
+++ b/src/coordination/fleet/bounds-record.ts
@@ -8,7 +8,7 @@
 import {type Store, Topic} from '../../protocol/platform.js';
 import {type SteadyClock} from '../../clock.js';
 import {type DutyLease} from '../duty-lease.js';
-import {fieldsOf, readOwnRecord} from '../own-record.js';
+import {fieldsOf, decodeDaemonRecord} from '../daemon-record.js';
 import {type QuotaLedger, type WindowBound} from '../quota-ledger.js';
 
 /** Key of the record in the topic of the daemons' addresses; no daemon has this name. */
@@ -16,7 +16,7 @@
 /** Longest time between two writes of the record, in milliseconds. */
 const writeIntervalMs = 1500;
 /** Time between two checks whether more was admitted than the record allows for, in milliseconds: one round of reports. */
-export const checkMs = 250;
+export const boundsCheckMs = 250;
 /** Age up to which a starting daemon adopts the record, in milliseconds: an older one lacks too many admissions. */
 const maxAgeMs = 6000;
 
@@ -45,9 +45,9 @@
 			return;
 		}
 
-		const accounts = this.isDue(nowMs) ? quota.writtenBounds(roundMs, nowMs) : undefined;
+		const accounts = this.isDue(nowMs) ? quota.boundsToStore(roundMs, nowMs) : undefined;
 		if (accounts) {
-			const record: WrittenBounds = {atMs: clock.wallNow(), accounts};
+			const record: WrittenBounds = {atMs: clock.wallTimeMs(), accounts};
 			await store.append(Topic.Members, {key: boundsKey, value: Buffer.from(JSON.stringify(record))}, undefined, signal);
 			this.written = {atMs: nowMs, accounts};
 		}
@@ -56,14 +56,14 @@
 	/** Adopts a record that was written shortly before this daemon started; an older one is ignored. */
 	restore(value: Uint8Array): void {
 		const {quota, clock} = this.parts;
-		const record = readOwnRecord(value, isWrittenBounds, 'bounds of the limits');
-		if (record && Math.abs(clock.wallNow() - record.atMs) <= maxAgeMs) {
-			quota.adoptWritten(record.accounts, clock.now());
+		const record = decodeDaemonRecord(value, isWrittenBounds, 'bounds of the limits');
+		if (record && Math.abs(clock.wallTimeMs() - record.atMs) <= maxAgeMs) {
+			quota.adoptStoredBounds(record.accounts, clock.now());
 		}
 	}
 
 	private isDue(nowMs: number): boolean {
-		return !this.written || nowMs - this.written.atMs >= writeIntervalMs || this.parts.quota.passes(this.written.accounts, nowMs);
+		return !this.written || nowMs - this.written.atMs >= writeIntervalMs || this.parts.quota.exceedsBounds(this.written.accounts, nowMs);
 	}
 }
 
--- a/src/coordination/fleet/digest-builder.ts
+++ b/src/coordination/fleet/digest-builder.ts
@@ -25,8 +25,8 @@
 			epoch: '',
 			daemons: this.isStopping ? 0 : 1,
 			silent: 0,
-			use: writeUse(quota.own()),
-			usage: usage.own(),
+			use: writeUse(quota.ownTotals()),
+			usage: usage.ownCounts(),
 			inFlight: packCounts(new Map(Object.entries(placement.inFlight()).map(([id, count]) => [backendKey(id), count]))),
 		};
 	}
@@ -34,7 +34,7 @@
 	/** Returns a relay's digest of its failure domain. */
 	domain(nowMs: number): Digest {
 		const {fleet, usage, failureDomain} = this.parts;
-		return {...fleet.domainDigest(this.own(), nowMs), usage: usage.domain(failureDomain)};
+		return {...fleet.domainDigest(this.own(), nowMs), usage: usage.domainCounts(failureDomain)};
 	}
 
 	/** Returns the digest of a relay's view: for a daemon of its own failure domain the sums of all other daemons, for a relay of another one the sums of its own failure domain. */
@@ -44,6 +44,6 @@
 			return this.domain(nowMs);
 		}
 
-		return {...fleet.restDigest(this.own(), receiver.name, nowMs), usage: wantsUsage ? usage.restOf(receiver.failureDomain, receiver.incarnation) : []};
+		return {...fleet.restDigest(this.own(), receiver.name, nowMs), usage: wantsUsage ? usage.countsExcept(receiver.failureDomain, receiver.incarnation) : []};
 	}
 }
--- a/src/coordination/fleet/fleet-messenger.ts
+++ b/src/coordination/fleet/fleet-messenger.ts
@@ -9,10 +9,10 @@
 	type FrontSettings, type ServiceBounds, type Store, Topic,
 } from '../../protocol/platform.js';
 import {
-	type Digest, DigestScope, type FleetMessage, FleetMessageKind, isFleetMessage, type NamedAddress, type PeerAddress, type Report, type Sender, type ToldTopic, type View,
+	type Digest, DigestScope, type FleetMessage, FleetMessageKind, isFleetMessage, type NamedAddress, type PeerAddress, type Report, type Sender, type GossipedTopic, type View,
 } from '../../protocol/fleet-messages.js';
 import {type SteadyClock} from '../../clock.js';
-import {type MessageLink} from '../../transport/datagram-link.js';
+import {type MessageSender} from '../../transport/datagram-link.js';
 import {type DutyLease} from '../duty-lease.js';
 import {type Placement} from '../placement.js';
 import {type Quarantine} from '../quarantine/quarantine.js';
@@ -21,13 +21,13 @@
 import {type StatedLimits} from '../stated-limits.js';
 import {type TopicFollower} from '../topic-follower.js';
 import {type UsageLedger} from '../usage-ledger.js';
-import {fieldsOf, readOwnRecord} from '../own-record.js';
+import {fieldsOf, decodeDaemonRecord} from '../daemon-record.js';
 import {BackendUpdates} from './backend-updates.js';
 import {type BoundsRecord, boundsKey} from './bounds-record.js';
 import {DigestBuilder} from './digest-builder.js';
 import {FleetRole, type FleetTable} from './fleet-table.js';
 import {type UseTotals} from './merged-counters.js';
-import {PeerCounter, roundMs} from './peer-census.js';
+import {PeerCounter, reportIntervalMs} from './peer-counter.js';
 
 /** Timeout of a read of the store's list of daemons, in milliseconds. */
 const memberReadTimeoutMs = 900;
@@ -38,7 +38,7 @@
 /** Rounds between two reports to standby relays; the digests that they hold are then at most two rounds old. */
 const standbyRequestRounds = 2;
 /** Longest time between two views of a relay that answers, in milliseconds. */
-export const tellingMs = standbyRequestRounds * roundMs;
+export const maxViewIntervalMs = standbyRequestRounds * reportIntervalMs;
 /** Time between two reads of the store's list of daemons in a full mesh, in milliseconds; each read is followed by a report to all known daemons, also silent ones. */
 const meshDiscoveryIntervalMs = 8000;
 /** Time between two reads of the list in a large fleet, in milliseconds; there relays also name each other. */
@@ -80,14 +80,14 @@
 	quarantineRecord: QuarantineRecord;
 	statedLimits: StatedLimits;
 	/** The followers of the topics that daemons gossip about. */
-	topics: Record<ToldTopic, TopicFollower>;
+	topics: Record<GossipedTopic, TopicFollower>;
 	clock: SteadyClock;
 	startedAtMs: number;
 };
 
 /** Exchanges messages with the other daemons. */
 export class FleetMessenger {
-	private link: MessageLink | undefined;
+	private link: MessageSender | undefined;
 	private isAddressWritten = false;
 	/** Whether the store's list of daemons has been read since the start. */
 	private isListRead = false;
@@ -108,7 +108,7 @@
 		this.peerCounter = new PeerCounter({...parts, quotaWindowMs: parts.settings.bounds.quotaWindowMs});
 		this.digests = new DigestBuilder({...parts, failureDomain: parts.settings.failureDomain});
 		this.backendUpdates = new BackendUpdates(parts);
-		parts.fleet.learn(parts.settings.name, parts.settings.failureDomain, this.address);
+		parts.fleet.addAddress(parts.settings.name, parts.settings.failureDomain, this.address);
 	}
 
 	/** From now on, reports to the others that this daemon is about to stop. */
@@ -117,7 +117,7 @@
 	}
 
 	/** Time until the next read of the store's list, in milliseconds. */
-	get discoverPauseMs(): number {
+	get discoveryIntervalMs(): number {
 		const {clock, startedAtMs, fleet} = this.parts;
 		const nowMs = clock.now();
 		if (nowMs - startedAtMs < startupDiscoveryMs || !this.isListRead) {
@@ -128,7 +128,7 @@
 	}
 
 	/** Starts to send messages through a link. */
-	open(link: MessageLink): void {
+	open(link: MessageSender): void {
 		this.link = link;
 	}
 
@@ -138,7 +138,7 @@
 	}
 
 	/** Sends the reports of a round; called once per round. */
-	report(): void {
+	sendReports(): void {
 		const {fleet, clock, settings} = this.parts;
 		const nowMs = clock.now();
 		const role = fleet.roleAt(nowMs);
@@ -165,7 +165,7 @@
 	}
 
 	/** Processes the content of a received datagram; anything that is not a message of a daemon is ignored. */
-	hear(message: unknown): void {
+	receive(message: unknown): void {
 		if (!isFleetMessage(message)) {
 			return;
 		}
@@ -183,16 +183,16 @@
 		}
 
 		if (message.holder) {
-			lease.hear(message.holder, nowMs);
+			lease.applyHolderUpdate(message.holder, nowMs);
 		}
 
 		for (const [account, use] of this.noteDigest(message, nowMs)) {
-			quota.notePeers(account, use, nowMs);
+			quota.addPeerUse(account, use, nowMs);
 		}
 
 		// The sums include the counts of the digest, so they are adopted after it.
 		if (message.windowUses) {
-			quota.adopt(message.windowUses, nowMs);
+			quota.adoptProfiles(message.windowUses, nowMs);
 			this.hasMissedUpdates = false;
 		}
 
@@ -217,16 +217,16 @@
 			this.isAddressWritten = true;
 		}
 
-		const batch = await store.newest(Topic.Members, memberReadTimeoutMs, signal);
+		const batch = await store.readNewest(Topic.Members, memberReadTimeoutMs, signal);
 		for (const {key, value} of batch.records) {
 			if (key === boundsKey && value) {
 				this.parts.bounds.restore(value);
 			} else if (key === quarantineKey && value) {
-				this.parts.quarantineRecord.take(value);
+				this.parts.quarantineRecord.apply(value);
 			} else if (value) {
-				const member = readOwnRecord(value, isMemberRecord, `address of ${key}`);
+				const member = decodeDaemonRecord(value, isMemberRecord, `address of ${key}`);
 				if (member) {
-					fleet.learn(key, member.failureDomain ?? settings.failureDomain, {host: member.host, port: member.port});
+					fleet.addAddress(key, member.failureDomain ?? settings.failureDomain, {host: member.host, port: member.port});
 				}
 			}
 		}
@@ -246,7 +246,7 @@
 	/** In a full mesh, queries some peers for the topics that this daemon cannot read from the store: the store may turn away some daemons and serve others. */
 	private queryPeers(nowMs: number): void {
 		const {fleet, topics} = this.parts;
-		const lostTopics = gossipedTopics.filter(topic => topics[topic].isLost);
+		const lostTopics = gossipedTopics.filter(topic => topics[topic].isReadFailing);
 		const peers = fleet.addresses(false, nowMs);
 		if (lostTopics.length > 0 && peers.length > 0) {
 			// The peers change with each round, since those queried may be turned away as well.
@@ -310,7 +310,7 @@
 		for (const topic of gossipedTopics) {
 			const update = topics[topic];
 			if (update && sentAtMs !== undefined) {
-				this.parts.topics[topic].hear(update, sentAtMs, nowMs);
+				this.parts.topics[topic].applyRelayUpdate(update, sentAtMs, nowMs);
 			}
 		}
 	}
@@ -319,7 +319,7 @@
 	private checkMissedUpdates(nowMs: number): void {
 		if (!this.hasMissedUpdates && nowMs - this.relayHeardAtMs > missedUpdatesMs) {
 			this.hasMissedUpdates = true;
-			this.parts.quota.doubtHistory();
+			this.parts.quota.noteMissedReports();
 		}
 	}
 
@@ -328,11 +328,11 @@
 		const {sender, digest} = message;
 		for (const [window, counts] of digest?.usage ?? []) {
 			if (digest?.scope === DigestScope.Daemon) {
-				usage.note(sender.failureDomain, sender.incarnation, window, counts);
+				usage.mergeDaemonCounts(sender.failureDomain, sender.incarnation, window, counts);
 			} else if (digest?.scope === DigestScope.Domain) {
-				usage.noteDomain(sender.failureDomain, window, counts);
+				usage.mergeDomainCounts(sender.failureDomain, window, counts);
 			} else {
-				usage.noteRest(window, counts);
+				usage.mergeOtherCounts(window, counts);
 			}
 		}
 
@@ -345,7 +345,7 @@
 			...this.createHead(!wantsView && nowMs - this.windowUsesRequestedAtMs < windowUsesSendMs, nowMs),
 			digest,
 			wantsView,
-			wantsUses: this.hasMissedUpdates || (this.parts.quota.lacksSums && nowMs - this.parts.startedAtMs < windowUsesRequestMs),
+			wantsUses: this.hasMissedUpdates || (this.parts.quota.isMissingProfiles && nowMs - this.parts.startedAtMs < windowUsesRequestMs),
 			wantsUsage: this.parts.lease.isConfirmedAt(nowMs),
 			round: this.round,
 			offsets: wantsView ? Object.fromEntries(gossipedTopics.map(topic => [topic, this.parts.topics[topic].nextOffset])) : {},
@@ -364,7 +364,7 @@
 			digest: isRelay ? this.digests.view(receiver, wantsUsage, nowMs) : undefined,
 			relays: fleet.relays(settings.failureDomain, nowMs),
 			round,
-			topics: Object.fromEntries(topics.map(topic => [topic, this.parts.topics[topic].newsFor(offsets[topic], nowMs)])),
+			topics: Object.fromEntries(topics.map(topic => [topic, this.parts.topics[topic].createUpdateFor(offsets[topic], nowMs)])),
 		};
 	}
 
@@ -379,7 +379,7 @@
 		const {lease, quota} = this.parts;
 		return {
 			sender: this.sender(nowMs),
-			holder: lease.news(nowMs),
+			holder: lease.createHolderUpdate(nowMs),
 			windowUses: includesUses ? quota.profiles(nowMs) : undefined,
 		};
 	}
--- a/src/coordination/fleet/fleet-table.ts
+++ b/src/coordination/fleet/fleet-table.ts
@@ -74,7 +74,7 @@
 	}
 
 	/** Records the address of a daemon that the platform's store or another daemon named. */
-	learn(name: string, failureDomain: string, address: PeerAddress): void {
+	addAddress(name: string, failureDomain: string, address: PeerAddress): void {
 		this.relaySelection(failureDomain).addAddress(name, address);
 	}
 
--- a/src/coordination/fleet/peer-census.ts
+++ b/src/coordination/fleet/peer-counter.ts
@@ -10,7 +10,7 @@
 import {goneAfterMs} from './reported-group.js';
 
 /** Time between reports of a daemon, in milliseconds. */
-export const roundMs = 250;
+export const reportIntervalMs = 250;
 /** Propagation time of an update to a daemon of each role, in milliseconds, in addition to half a round: directly from a peer, or through up to two relays, each of which adds half a round on average. */
 const propagationMs: Record<FleetRole, number> = {[FleetRole.Mesh]: 50, [FleetRole.Relay]: 200, [FleetRole.Leaf]: 300};
 /** How long after its start a daemon assumes that the listed daemons that it has not heard yet are starting as well, in milliseconds: all daemons hear of each other within a second. After that they count as silent, and later as gone. */
@@ -50,12 +50,12 @@
 		const silent = fleet.silent(nowMs);
 		return {
 			daemons: maxDaemons - unheardOf,
-			silent: silent + maxDaemons - daemons - unheardOf,
-			unheardMs: propagationMs[fleet.roleAt(nowMs)] + (roundMs / 2),
-			roundMs,
-			unheardOf,
+			silentDaemons: silent + maxDaemons - daemons - unheardOf,
+			reportDelayMs: propagationMs[fleet.roleAt(nowMs)] + (reportIntervalMs / 2),
+			reportIntervalMs,
+			unreportedDaemons: unheardOf,
 			// Listed daemons may be long gone, so only daemons that were heard from count here.
-			isAlone: this.isIsolated(silent > daemons / 2, nowMs),
+			isIsolated: this.isIsolated(silent > daemons / 2, nowMs),
 		};
 	}
 
--- a/src/coordination/fleet/sender-choice.ts
+++ b/src/coordination/fleet/sender-selection.ts
@@ -10,7 +10,7 @@
  *
  * @param localName This daemon's name.
  */
-export function chooseSenders(fleet: FleetTable, localName: string, backend: number, maxSenders: number, nowMs: number): SenderChoice {
+export function selectSenders(fleet: FleetTable, localName: string, backend: number, maxSenders: number, nowMs: number): SenderChoice {
 	// A daemon that hears few of the others would select itself in place of daemons that still send.
 	if (!fleet.hearsMost(nowMs)) {
 		return {isSender: false, senders: 1};
--- a/src/coordination/journal.ts
+++ b/src/coordination/journal.ts
@@ -97,7 +97,7 @@
 
 	private async appendAndDecide(intent: Intent, signal: AbortSignal): Promise<ClaimOutcome> {
 		const {account, key} = intent;
-		if (this.table.firstFor(account, key)) {
+		if (this.table.firstIntentFor(account, key)) {
 			return ClaimOutcome.Taken;
 		}
 
@@ -115,7 +115,7 @@
 		while (!signal.aborted && Date.now() < deadlineAtMs) {
 			offset ??= this.table.offsetOf(intent.id);
 			if (offset !== undefined && this.table.appliedOffset >= offset) {
-				return this.table.firstFor(account, key)?.id === intent.id ? ClaimOutcome.Won : ClaimOutcome.Taken;
+				return this.table.firstIntentFor(account, key)?.id === intent.id ? ClaimOutcome.Won : ClaimOutcome.Taken;
 			}
 
 			// eslint-disable-next-line no-await-in-loop
--- a/src/coordination/load-tracker.ts
+++ b/src/coordination/load-tracker.ts
@@ -82,12 +82,12 @@
 		const nowMs = Date.now();
 		if (report.id !== engine.id) {
 			// Another VM answers at this address, so the listed one is gone.
-			this.directory.noteLeaving(engine.id, LeavingSource.Engine, nowMs, nowMs);
+			this.directory.markLeaving(engine.id, LeavingSource.Engine, nowMs, nowMs);
 			return;
 		}
 
 		if (report.role === EngineRole.Draining) {
-			this.directory.noteLeaving(engine.id, LeavingSource.Engine, undefined, nowMs);
+			this.directory.markLeaving(engine.id, LeavingSource.Engine, undefined, nowMs);
 		}
 
 		if (!view.healthy) {
--- a/src/coordination/membership.ts
+++ b/src/coordination/membership.ts
@@ -20,7 +20,7 @@
 	constructor(private readonly heartbeatMs: number) {}
 
 	/** Records a heartbeat received at `nowMs`. */
-	observe(heartbeat: Heartbeat, nowMs: number): void {
+	recordHeartbeat(heartbeat: Heartbeat, nowMs: number): void {
 		this.peers.set(heartbeat.id, {heartbeat, receivedAtMs: nowMs});
 	}
 
--- a/src/coordination/placement.ts
+++ b/src/coordination/placement.ts
@@ -7,7 +7,7 @@
  * what it sent itself and what its peers report to have in flight.
  */
 import {createHash} from 'node:crypto';
-import {type Backend, type PromptPart, type StatedLoad} from '../protocol/serving.js';
+import {type Backend, type PromptPart, type ReportedLoad} from '../protocol/serving.js';
 
 /** Prompt tokens that an engine prefills in a millisecond. */
 const prefillTokensPerMs = 50;
@@ -59,7 +59,7 @@
 };
 
 /** A backend server with its estimated cost for a request. */
-export type Choice = {
+export type PlacementChoice = {
 	backend: Backend;
 	/** Estimated delay plus the penalties, in milliseconds. */
 	costMs: number;
@@ -82,7 +82,7 @@
 	inFlight: number;
 	/** Prompt tokens of requests sent there whose first event has not arrived yet. */
 	pendingTokens: number;
-	reportedLoad: StatedLoad | undefined;
+	reportedLoad: ReportedLoad | undefined;
 	/** When the load report arrived. */
 	reportedAtMs: number;
 	/** Times of recent failures. */
@@ -98,11 +98,11 @@
 	constructor(private readonly failureDomain: string) {}
 
 	/** Returns the backend server with the lowest cost, or undefined when every candidate is excluded. */
-	choose(query: PlacementQuery): Choice | undefined {
+	choose(query: PlacementQuery): PlacementChoice | undefined {
 		const preferred = rankPreferred(query.promptParts, query.candidates);
 		const choices = query.candidates.map(backend => this.estimate(backend, query, preferred[0] === backend.id));
 		const eligible = choices.filter(choice => !query.excluded.has(choice.backend.id));
-		let best: Choice | undefined;
+		let best: PlacementChoice | undefined;
 		for (const choice of eligible.length > maxScoredEngines && !query.isSuspect ? selectScored(eligible, preferred, query.random) : eligible) {
 			if (!best || (query.isSuspect ? choice.inFlight < best.inFlight : choice.costMs < best.costMs)) {
 				best = choice;
@@ -134,7 +134,7 @@
 	}
 
 	/** Records the load that a backend server reported. */
-	noteLoad(backendId: string, load: StatedLoad, nowMs: number): void {
+	noteLoad(backendId: string, load: ReportedLoad, nowMs: number): void {
 		const stats = this.statsOf(backendId);
 		stats.reportedLoad = load;
 		stats.reportedAtMs = nowMs;
@@ -159,7 +159,7 @@
 		}
 	}
 
-	private estimate(backend: Backend, query: PlacementQuery, isPreferred: boolean): Choice {
+	private estimate(backend: Backend, query: PlacementQuery, isPreferred: boolean): PlacementChoice {
 		const stats = this.statsOf(backend.id);
 		const {nowMs, promptParts, promptTokens} = query;
 		stats.failures = stats.failures.filter(atMs => nowMs - atMs < failureMaxAgeMs);
@@ -202,7 +202,7 @@
 	) {}
 
 	/** Records the first event of the answer: the prompt has been prefilled. */
-	noteRead(): void {
+	notePrefilled(): void {
 		if (this.isPrefilling) {
 			this.isPrefilling = false;
 			this.stats.pendingTokens -= this.promptTokens;
@@ -213,15 +213,15 @@
 	end(): void {
 		if (!this.hasEnded) {
 			this.hasEnded = true;
-			this.noteRead();
+			this.notePrefilled();
 			this.stats.inFlight--;
 		}
 	}
 }
 
 /** Returns the engine that should have the most of the prompt cached, if that is enough more than the chosen one has. */
-function findCacheSource(chosen: Choice, choices: Choice[]): Backend | undefined {
-	let source: Choice | undefined;
+function findCacheSource(chosen: PlacementChoice, choices: PlacementChoice[]): Backend | undefined {
+	let source: PlacementChoice | undefined;
 	for (const choice of choices) {
 		if (choice.cachedTokens > (source ?? chosen).cachedTokens) {
 			source = choice;
@@ -257,7 +257,7 @@
 }
 
 /** Returns the choices to compare among many: those that should have much of the prompt cached, the preferred engines, and a few at random. */
-function selectScored(choices: Choice[], preferred: string[], random: () => number): Choice[] {
+function selectScored(choices: PlacementChoice[], preferred: string[], random: () => number): PlacementChoice[] {
 	const fewestCached = Math.min(...choices.map(choice => choice.cachedTokens));
 	const cached = choices.filter(({backend, cachedTokens}) => cachedTokens - fewestCached >= minCachedTokens || preferred.includes(backend.id));
 	const sampled = Array.from({length: sampledEngineCount}, () => choices[Math.floor(random() * choices.length)]);
--- a/src/coordination/quarantine/__tests__/crash-watch.test.ts
+++ b/src/coordination/quarantine/__tests__/crash-watch.test.ts
@@ -7,7 +7,7 @@
 import {SteadyClock} from '../../../clock.js';
 import {type Backend, BackendState} from '../../../protocol/serving.js';
 import {BackendTable} from '../../../state/backend-table.js';
-import {refusesConnections} from '../../../transport/port-probe.js';
+import {isConnectionRefused} from '../../../transport/port-probe.js';
 import {CrashWatch} from '../crash-watch.js';
 import {Quarantine} from '../quarantine.js';
 
@@ -21,7 +21,7 @@
 		{name: 'at a backend server that then refuses connections', isEvidence: true},
 		{name: 'at one that still accepts connections: it is overloaded, or its answer was corrupted', isRefused: false, isEvidence: false},
 		{name: 'at one that is draining or being reclaimed', change: table => table.upsert(backend('i-1', draining), 0), isEvidence: false},
-		{name: 'at one whose entry was removed before', change: table => table.vanish('i-1', 0), isEvidence: false},
+		{name: 'at one whose entry was removed before', change: table => table.markRemoved('i-1', 0), isEvidence: false},
 		{name: 'at one that is no longer known', isListed: false, isEvidence: false},
 		{
 			name: 'at one that has restarted under the same name', isRefused: false, change: table => table.upsert(backend('i-1#2', {name: 'i-1', startedAtMs: 5}), 0), isEvidence: true,
@@ -62,10 +62,10 @@
 			server.once('listening', resolve);
 		});
 		const {port} = server.address() as {port: number};
-		expect(await refusesConnections({host: '127.0.0.1', port}, 500)).toBe(false);
+		expect(await isConnectionRefused({host: '127.0.0.1', port}, 500)).toBe(false);
 		await new Promise(resolve => {
 			server.close(resolve);
 		});
-		expect(await refusesConnections({host: '127.0.0.1', port}, 500)).toBe(true);
+		expect(await isConnectionRefused({host: '127.0.0.1', port}, 500)).toBe(true);
 	});
 });
--- a/src/coordination/quarantine/__tests__/quarantine.test.ts
+++ b/src/coordination/quarantine/__tests__/quarantine.test.ts
@@ -12,7 +12,7 @@
 function afterCrashes(crashes: number, mayProbe = false): Quarantine {
 	const quarantine = new Quarantine(() => mayProbe);
 	for (let index = 1; index <= crashes; index++) {
-		quarantine.noteCrash(fingerprint, index, startMs - ((crashes - index) * 1000));
+		quarantine.recordCrash(fingerprint, index, startMs - ((crashes - index) * 1000));
 	}
 
 	return quarantine;
@@ -36,7 +36,7 @@
 		const quarantine = afterCrashes(crashes);
 		expect(quarantine.isSuspect(fingerprint)).toBe(isSuspect);
 		expect(quarantine.admit(fingerprint, startMs) !== undefined).toBe(isRefused);
-		expect(quarantine.forbidsRepeat(fingerprint)).toBe(isRefused);
+		expect(quarantine.forbidsRetry(fingerprint)).toBe(isRefused);
 		expect(quarantine.admit(fingerprint + 1, startMs)).toBeUndefined();
 	});
 
@@ -44,26 +44,26 @@
 		const quarantine = afterCrashes(2);
 		const other = afterCrashes(1);
 		for (let round = 0; round < 10; round++) {
-			quarantine.noteCrash(fingerprint, 2, startMs + round);
-			quarantine.hear(other.news(true, startMs + round), true, startMs + round);
+			quarantine.recordCrash(fingerprint, 2, startMs + round);
+			quarantine.applyUpdates(other.recentUpdates(true, startMs + round), true, startMs + round);
 		}
 
-		expect(quarantine.forbidsRepeat(fingerprint)).toBe(false);
+		expect(quarantine.forbidsRetry(fingerprint)).toBe(false);
 	});
 
 	it('adds up crashes that several daemons observed once each', () => {
 		const daemons = [1, 2, 3].map(backend => {
 			const quarantine = new Quarantine(() => false);
-			quarantine.noteCrash(fingerprint, backend, startMs);
+			quarantine.recordCrash(fingerprint, backend, startMs);
 			return quarantine;
 		});
 		for (const daemon of daemons) {
 			for (const other of daemons) {
-				daemon.hear(other.news(false, startMs + 100), false, startMs + 100);
+				daemon.applyUpdates(other.recentUpdates(false, startMs + 100), false, startMs + 100);
 			}
 		}
 
-		expect(daemons.map(daemon => daemon.forbidsRepeat(fingerprint))).toEqual([true, true, true]);
+		expect(daemons.map(daemon => daemon.forbidsRetry(fingerprint))).toEqual([true, true, true]);
 	});
 
 	it.each([
@@ -89,25 +89,25 @@
 		const quarantine = afterCrashes(crashesToQuarantine, true);
 		const probeAtMs = startMs + initialQuarantineMs + 1;
 		expect(quarantine.admit(fingerprint, probeAtMs)).toBeUndefined();
-		quarantine.noteCrash(fingerprint, 99, probeAtMs + 100);
+		quarantine.recordCrash(fingerprint, 99, probeAtMs + 100);
 		expect(quarantine.admit(fingerprint, probeAtMs + 200)!.retryAfterMs).toBeGreaterThan(initialQuarantineMs * 1.9);
 	});
 
 	it('clears a request when a run of it completes, also at daemons that are told so, even if they are told of the old crashes again', () => {
 		const [quarantine, other] = [afterCrashes(crashesToQuarantine), afterCrashes(crashesToQuarantine)];
-		const stale = other.news(true, startMs);
+		const stale = other.recentUpdates(true, startMs);
 		quarantine.recordCompletedRun(fingerprint, startMs + 500);
-		other.hear(quarantine.news(true, startMs + 600), false, startMs + 600);
+		other.applyUpdates(quarantine.recentUpdates(true, startMs + 600), false, startMs + 600);
 		for (const daemon of [quarantine, other]) {
-			daemon.hear(stale.map(update => ({...update, crashes: update.crashes.map(([backend, ageMs]): [number, number] => [backend, ageMs + 700])})), false, startMs + 700);
-			expect(daemon.forbidsRepeat(fingerprint)).toBe(false);
+			daemon.applyUpdates(stale.map(update => ({...update, crashes: update.crashes.map(([backend, ageMs]): [number, number] => [backend, ageMs + 700])})), false, startMs + 700);
+			expect(daemon.forbidsRetry(fingerprint)).toBe(false);
 		}
 	});
 
 	it('does not suspect identical requests of many clients while runs of them complete between crashes', () => {
 		const quarantine = new Quarantine(() => false);
 		for (let crash = 0; crash < 20; crash++) {
-			quarantine.noteCrash(fingerprint, crash, startMs + (crash * 1000));
+			quarantine.recordCrash(fingerprint, crash, startMs + (crash * 1000));
 			quarantine.recordCompletedRun(fingerprint, startMs + (crash * 1000) + 500);
 			expect(quarantine.admit(fingerprint, startMs + (crash * 1000) + 600)).toBeUndefined();
 		}
@@ -117,32 +117,32 @@
 		const quarantine = new Quarantine(() => false);
 		for (let crash = 0; crash < 3; crash++) {
 			for (let beside = 0; beside < 64; beside++) {
-				quarantine.noteCrash(1000 + (crash * 64) + beside, crash, startMs + (crash * 600));
+				quarantine.recordCrash(1000 + (crash * 64) + beside, crash, startMs + (crash * 600));
 			}
 
-			quarantine.noteCrash(fingerprint, crash, startMs + (crash * 600));
+			quarantine.recordCrash(fingerprint, crash, startMs + (crash * 600));
 		}
 
-		const refused = [fingerprint, ...Array.from({length: 192}, (_, index) => 1000 + index)].filter(suspect => quarantine.forbidsRepeat(suspect));
+		const refused = [fingerprint, ...Array.from({length: 192}, (_, index) => 1000 + index)].filter(suspect => quarantine.forbidsRetry(suspect));
 		expect(refused).toEqual([fingerprint]);
 		// Of the 193 suspects, the updates list the worst first.
-		expect(quarantine.news(false, startMs + 1200)[0].fingerprint).toBe(fingerprint);
+		expect(quarantine.recentUpdates(false, startMs + 1200)[0].fingerprint).toBe(fingerprint);
 	});
 
 	it('keeps a bounded number of suspects, and the worst of them', () => {
 		const quarantine = afterCrashes(crashesToQuarantine);
 		for (let other = 0; other < 5000; other++) {
-			quarantine.noteCrash(10_000 + other, other, startMs + other);
+			quarantine.recordCrash(10_000 + other, other, startMs + other);
 		}
 
 		expect((quarantine.toJson(startMs + 5000) as unknown[]).length).toBeLessThanOrEqual(64);
-		expect(quarantine.forbidsRepeat(fingerprint)).toBe(true);
+		expect(quarantine.forbidsRetry(fingerprint)).toBe(true);
 	});
 
 	it('forgets a request long after its last crash', () => {
 		const quarantine = afterCrashes(crashesToQuarantine);
 		const laterMs = startMs + (2 * 60 * 60_000);
-		quarantine.noteCrash(fingerprint + 1, 1, laterMs);
-		expect(quarantine.forbidsRepeat(fingerprint)).toBe(false);
+		quarantine.recordCrash(fingerprint + 1, 1, laterMs);
+		expect(quarantine.forbidsRetry(fingerprint)).toBe(false);
 	});
 });
--- a/src/coordination/quarantine/crash-watch.ts
+++ b/src/coordination/quarantine/crash-watch.ts
@@ -7,7 +7,7 @@
 import {type Backend} from '../../protocol/serving.js';
 import {type BackendTable} from '../../state/backend-table.js';
 import {type SteadyClock} from '../../clock.js';
-import {refusesConnections} from '../../transport/port-probe.js';
+import {isConnectionRefused} from '../../transport/port-probe.js';
 import {createLogger} from '../../log.js';
 import {backendKey} from '../fleet/backend-key.js';
 import {type Quarantine} from './quarantine.js';
@@ -26,7 +26,7 @@
 	quarantine: Quarantine;
 	clock: SteadyClock;
 	/** Tells whether an address refuses connections. */
-	refuses?: typeof refusesConnections;
+	refuses?: typeof isConnectionRefused;
 };
 
 /** Turns broken runs into evidence against the requests that were running. */
@@ -39,7 +39,7 @@
 	async recordBrokenRun(fingerprint: number, backend: Backend): Promise<void> {
 		const {quarantine, clock} = this.dependencies;
 		if (!this.isLeaving(backend) && await this.checkEnded(backend, clock.now())) {
-			quarantine.noteCrash(fingerprint, backendKey(backend.id), clock.now());
+			quarantine.recordCrash(fingerprint, backendKey(backend.id), clock.now());
 			log.info('backend server crashed while running a request.', {backend: backend.id, fingerprint: formatFingerprint(fingerprint)});
 		}
 	}
@@ -51,7 +51,7 @@
 
 	/** Whether a backend server has ended; checked once for all runs that break off there together. */
 	private async checkEnded(backend: Backend, nowMs: number): Promise<boolean> {
-		const {backends, refuses = refusesConnections} = this.dependencies;
+		const {backends, refuses = isConnectionRefused} = this.dependencies;
 		if (backends.get(backend.id)?.isEnded) {
 			return true;
 		}
--- a/src/coordination/quarantine/quarantine-record.ts
+++ b/src/coordination/quarantine/quarantine-record.ts
@@ -4,20 +4,20 @@
  * many backend servers again before it is quarantined.
  */
 import {Buffer} from 'node:buffer';
-import {isSuspectNews, type SuspectNews} from '../../protocol/fleet-messages.js';
+import {isSuspectUpdates, type SuspectUpdate} from '../../protocol/fleet-messages.js';
 import {type Store, Topic} from '../../protocol/platform.js';
 import {type SteadyClock} from '../../clock.js';
 import {type DutyLease} from '../duty-lease.js';
-import {fieldsOf, readOwnRecord} from '../own-record.js';
+import {fieldsOf, decodeDaemonRecord} from '../daemon-record.js';
 import {type Quarantine} from './quarantine.js';
 
 /** Key of the record among the daemons' records; no daemon has this name. */
 export const quarantineKey = '#quarantine';
 /** Interval between checks whether the record must be written again, in milliseconds. */
-export const quarantineCheckMs = 500;
+export const quarantineCheckIntervalMs = 500;
 
 /** The record in the store; ages in it count back from `atMs`, the time of writing in milliseconds since 1970. */
-type StoredQuarantine = {atMs: number; suspects: SuspectNews[]};
+type StoredQuarantine = {atMs: number; suspects: SuspectUpdate[]};
 
 /** Writes and reads the record of quarantined requests. */
 export class QuarantineRecord {
@@ -40,32 +40,32 @@
 			return;
 		}
 
-		const record: StoredQuarantine = {atMs: clock.wallNow(), suspects};
+		const record: StoredQuarantine = {atMs: clock.wallTimeMs(), suspects};
 		await store.append(Topic.Members, {key: quarantineKey, value: Buffer.from(JSON.stringify(record))}, undefined, signal);
 		this.storedSummary = content;
 	}
 
 	/** Applies a record that another daemon wrote, or that was written before this daemon started. */
-	take(value: Uint8Array): void {
+	apply(value: Uint8Array): void {
 		const {quarantine, clock} = this.dependencies;
-		const record = readOwnRecord(value, isStoredQuarantine, 'quarantined requests');
+		const record = decodeDaemonRecord(value, isStoredQuarantine, 'quarantined requests');
 		if (record) {
 			// If the clock was set back, crashes must not appear to be in the future.
-			const ageMs = Math.max(0, clock.wallNow() - record.atMs);
+			const ageMs = Math.max(0, clock.wallTimeMs() - record.atMs);
 			const suspects = record.suspects.map(({fingerprint, crashes, clearedAgeMs}) => ({
 				fingerprint, crashes: crashes.map(([backend, crashAgeMs]): [number, number] => [backend, crashAgeMs + ageMs]), clearedAgeMs: clearedAgeMs === undefined ? undefined : clearedAgeMs + ageMs,
 			}));
-			quarantine.hear(suspects, false, clock.now());
+			quarantine.applyUpdates(suspects, false, clock.now());
 			this.storedSummary = summarize(record.suspects);
 		}
 	}
 }
 
-function summarize(suspects: SuspectNews[]): string {
+function summarize(suspects: SuspectUpdate[]): string {
 	return suspects.map(({fingerprint, crashes}) => `${fingerprint}:${crashes.map(([backend]) => backend).toSorted((a, b) => a - b).join('+')}`).toSorted((a, b) => a < b ? -1 : 1).join(' ');
 }
 
 function isStoredQuarantine(value: unknown): value is StoredQuarantine {
 	const {atMs, suspects} = fieldsOf(value);
-	return typeof atMs === 'number' && isSuspectNews(suspects);
+	return typeof atMs === 'number' && isSuspectUpdates(suspects);
 }
--- a/src/coordination/quarantine/quarantine.ts
+++ b/src/coordination/quarantine/quarantine.ts
@@ -6,7 +6,7 @@
  * Daemons gossip which backend server crashed while running which fingerprint, so a crash counts
  * once however often it is reported.
  */
-import {type SuspectNews} from '../../protocol/fleet-messages.js';
+import {type SuspectUpdate} from '../../protocol/fleet-messages.js';
 import {formatFingerprint} from './request-fingerprint.js';
 
 /** Number of backend servers that must have crashed while running a request before it is quarantined. Two are not enough: in a wave of crashes, a harmless request that is retried at once may meet two. */
@@ -68,7 +68,7 @@
 	}
 
 	/** Records that a backend server crashed while running a request. */
-	noteCrash(fingerprint: number, backendKey: number, nowMs: number): void {
+	recordCrash(fingerprint: number, backendKey: number, nowMs: number): void {
 		const suspect = this.findOrAddSuspect(fingerprint);
 		if (!suspect.crashes.has(backendKey)) {
 			suspect.crashes.set(backendKey, nowMs);
@@ -113,7 +113,7 @@
 	}
 
 	/** Whether a request that is being served must not be sent again. */
-	forbidsRepeat(fingerprint: number): boolean {
+	forbidsRetry(fingerprint: number): boolean {
 		return (this.suspects.get(fingerprint)?.crashes.size ?? 0) >= crashesToQuarantine;
 	}
 
@@ -123,19 +123,19 @@
 	}
 
 	/** Returns the updates for other daemons: recent changes, and with `withQuarantined` all quarantined requests, for daemons that have just started. */
-	news(withQuarantined: boolean, nowMs: number): SuspectNews[] {
+	recentUpdates(withQuarantined: boolean, nowMs: number): SuspectUpdate[] {
 		this.prune(nowMs);
 		const reported = [...this.suspects].filter(([, suspect]) => (withQuarantined && isQuarantined(suspect)) || nowMs - suspect.changedAtMs <= gossipMs);
 		return reported.toSorted(([, a], [, b]) => compareSuspicion(a, b)).slice(0, maxGossipedSuspects).map(entry => toUpdate(entry, nowMs));
 	}
 
 	/** Returns the quarantined requests, to be stored in case all daemons are lost at once. */
-	quarantinedUpdates(nowMs: number): SuspectNews[] {
+	quarantinedUpdates(nowMs: number): SuspectUpdate[] {
 		return [...this.suspects].filter(([, suspect]) => isQuarantined(suspect)).map(entry => toUpdate(entry, nowMs));
 	}
 
 	/** Applies updates received from another daemon or read from the store; known ones change nothing. New ones are gossiped further if `shouldPropagate`. */
-	hear(updates: SuspectNews[], shouldPropagate: boolean, nowMs: number): void {
+	applyUpdates(updates: SuspectUpdate[], shouldPropagate: boolean, nowMs: number): void {
 		for (const update of updates) {
 			const suspect = this.findOrAddSuspect(update.fingerprint);
 			if (this.mergeUpdate(suspect, update, nowMs) && shouldPropagate) {
@@ -148,11 +148,11 @@
 
 	/** Returns the suspects for the state dump. */
 	toJson(nowMs: number): unknown {
-		return this.news(true, nowMs).map(({fingerprint, ...rest}) => ({fingerprint: formatFingerprint(fingerprint), ...rest}));
+		return this.recentUpdates(true, nowMs).map(({fingerprint, ...rest}) => ({fingerprint: formatFingerprint(fingerprint), ...rest}));
 	}
 
 	/** Merges an update into what is known of a suspect; returns whether anything in it was new. */
-	private mergeUpdate(suspect: Suspect, {crashes, clearedAgeMs}: SuspectNews, nowMs: number): boolean {
+	private mergeUpdate(suspect: Suspect, {crashes, clearedAgeMs}: SuspectUpdate, nowMs: number): boolean {
 		let isNew = false;
 		const clearedAtMs = clearedAgeMs === undefined ? Number.NEGATIVE_INFINITY : nowMs - clearedAgeMs;
 		if (clearedAtMs - suspect.clearedAtMs > sameEventToleranceMs) {
@@ -233,7 +233,7 @@
 	return b.crashes.size - a.crashes.size || b.changedAtMs - a.changedAtMs;
 }
 
-function toUpdate([fingerprint, {crashes, clearedAtMs}]: [number, Suspect], nowMs: number): SuspectNews {
+function toUpdate([fingerprint, {crashes, clearedAtMs}]: [number, Suspect], nowMs: number): SuspectUpdate {
 	return {
 		fingerprint,
 		crashes: [...crashes].toSorted(([, a], [, b]) => b - a).slice(0, maxGossipedCrashes).map(([backendKey, atMs]) => [backendKey, Math.round(nowMs - atMs)]),
--- a/src/coordination/quota-ledger.ts
+++ b/src/coordination/quota-ledger.ts
@@ -52,7 +52,7 @@
 		return 1;
 	}
 
-	return promptTokens === undefined ? account.plainTokens : promptTokens + (maxOutputTokens ?? 0);
+	return promptTokens === undefined ? account.defaultTokenCost : promptTokens + (maxOutputTokens ?? 0);
 }
 
 /** What is known of the other daemons when a request is admitted. */
@@ -60,15 +60,15 @@
 	/** Daemons that share the limits, this one included. */
 	daemons: number;
 	/** Daemons among them that have not reported of late. */
-	silent: number;
+	silentDaemons: number;
 	/** Delay until a report of what peers admitted arrives, in milliseconds. */
-	unheardMs: number;
+	reportDelayMs: number;
 	/** Interval of the reports, in milliseconds. */
-	roundMs: number;
+	reportIntervalMs: number;
 	/** Further daemons that may have started together with this one and have not reported yet. */
-	unheardOf: number;
+	unreportedDaemons: number;
 	/** Whether this daemon lacks reports of what most of the others admitted in the window. */
-	isAlone: boolean;
+	isIsolated: boolean;
 };
 
 /** What all daemons admitted to an account in the window, and what they may admit in addition until the next record is written, in cost units. */
@@ -76,14 +76,14 @@
 
 /** Returns the share of an account's requests to admit: 1 far from its limit, 0 when nothing is left of it. */
 function shareWithinLimit(window: AccountWindow, cost: number, limit: number, peers: QuotaPeers, nowMs: number): number {
-	const unreported = (window.peersAdmitted.ratePerMs(peers.roundMs, nowMs) * peers.unheardMs) + (window.own.admitted * peers.unheardOf);
+	const unreported = (window.peersAdmitted.ratePerMs(peers.reportIntervalMs, nowMs) * peers.reportDelayMs) + (window.own.admitted * peers.unreportedDaemons);
 	const remaining = limit - window.sum(nowMs) - unreported;
 	if (remaining < cost) {
 		return 0;
 	}
 
-	const requestedPerMs = window.peersRequested.ratePerMs(peers.roundMs, nowMs) + (window.ownRequested.ratePerMs(peers.roundMs, nowMs) * peers.unheardOf);
-	const reserve = requestedPerMs * (peers.unheardMs + peers.roundMs) * reserveFactor;
+	const requestedPerMs = window.peersRequested.ratePerMs(peers.reportIntervalMs, nowMs) + (window.ownRequested.ratePerMs(peers.reportIntervalMs, nowMs) * peers.unreportedDaemons);
+	const reserve = requestedPerMs * (peers.reportDelayMs + peers.reportIntervalMs) * reserveFactor;
 	return remaining >= reserve ? 1 : remaining / reserve;
 }
 
@@ -144,7 +144,7 @@
 	}
 
 	/** Adds what peers admitted and refused since their last report. */
-	notePeers(accountName: string, use: AccountUse, nowMs: number): void {
+	addPeerUse(accountName: string, use: AccountUse, nowMs: number): void {
 		if (use.admitted === 0 && use.refused === 0) {
 			return;
 		}
@@ -156,17 +156,17 @@
 	}
 
 	/** Records that peers may have admitted requests whose reports were lost; the next profiles that a peer sends make up for them. */
-	doubtHistory(): void {
+	noteMissedReports(): void {
 		this.needsProfiles = true;
 	}
 
 	/** Whether this daemon still needs the profiles of a peer. */
-	get lacksSums(): boolean {
+	get isMissingProfiles(): boolean {
 		return this.needsProfiles;
 	}
 
 	/** Takes over the window as a peer knows it, once after a start or after reports may have been lost; what is admitted later comes with the peers' reports. */
-	adopt(profiles: Record<string, UseProfile>, nowMs: number): void {
+	adoptProfiles(profiles: Record<string, UseProfile>, nowMs: number): void {
 		if (!this.needsProfiles) {
 			return;
 		}
@@ -179,7 +179,7 @@
 	}
 
 	/** Takes over the bounds stored before this daemon started, as if written just now, since the time for which all daemons were down is unknown. The profiles of a peer replace them. */
-	adoptWritten(bounds: Record<string, WindowBound>, nowMs: number): void {
+	adoptStoredBounds(bounds: Record<string, WindowBound>, nowMs: number): void {
 		if (!this.needsProfiles || this.isHistoryKnown) {
 			return;
 		}
@@ -192,7 +192,7 @@
 	}
 
 	/** Returns everything that this daemon admitted and refused since its start, by account. */
-	own(): Map<string, AccountUse> {
+	ownTotals(): Map<string, AccountUse> {
 		return new Map([...this.windows].map(([name, window]) => [name, {...window.own}]));
 	}
 
@@ -202,13 +202,13 @@
 	}
 
 	/** Returns the bounds to store for the case that all daemons are lost at once: what they admitted in the window and may admit until the next write; undefined while this daemon does not know the whole window. */
-	writtenBounds(roundMs: number, nowMs: number): Record<string, WindowBound> | undefined {
+	boundsToStore(roundMs: number, nowMs: number): Record<string, WindowBound> | undefined {
 		const profiles = this.profiles(nowMs);
 		return profiles && Object.fromEntries(Object.entries(profiles).map(([name, uses]) => [name, {uses, ahead: this.expectedUntilNextWrite(name, uses, roundMs, nowMs)}]));
 	}
 
 	/** Returns whether more was admitted to an account than its bound covers, so that a daemon that started from the bound would grant too much. */
-	passes(bounds: Record<string, WindowBound>, nowMs: number): boolean {
+	exceedsBounds(bounds: Record<string, WindowBound>, nowMs: number): boolean {
 		return [...this.windows].some(([name, window]) => {
 			const bound = bounds[name];
 			return window.sum(nowMs) > (bound ? sumOfProfile(bound.uses) + bound.ahead : 0);
@@ -235,18 +235,18 @@
 	/** Returns the share of an account's requests to admit now. */
 	private admittedShare(account: Account, cost: number, peers: QuotaPeers, nowMs: number): number {
 		const window = this.window(account.name);
-		const hasMissingPeers = peers.isAlone || peers.unheardOf > 0;
+		const hasMissingPeers = peers.isIsolated || peers.unreportedDaemons > 0;
 		if (hasMissingPeers && window.ownSum(nowMs) + cost > this.equalShare(account, peers, nowMs)) {
 			return 0;
 		}
 
-		return peers.isAlone ? 1 : shareWithinLimit(window, cost, this.effectiveLimit(account, peers, nowMs), peers, nowMs);
+		return peers.isIsolated ? 1 : shareWithinLimit(window, cost, this.effectiveLimit(account, peers, nowMs), peers, nowMs);
 	}
 
 	/** Returns the limit less the shares of silent peers, and scaled down while the window's history is unknown. */
 	private effectiveLimit(account: Account, peers: QuotaPeers, nowMs: number): number {
 		const {windowMs} = this.bounds;
-		const heardShare = 1 - (Math.min(peers.silent, peers.daemons - 1) / Math.max(1, peers.daemons));
+		const heardShare = 1 - (Math.min(peers.silentDaemons, peers.daemons - 1) / Math.max(1, peers.daemons));
 		const knownShare = this.isHistoryKnown ? 1 : Math.min(1, (nowMs - this.startedAtMs) / windowMs) / 2;
 		return this.withGrantedSlack(this.granted(account, nowMs)) * heardShare * knownShare;
 	}
@@ -256,7 +256,7 @@
 	 * cover what the others admit before they notice that this daemon is silent. A restarted
 	 * daemon gets half, since it may have admitted the other half before.
 	 */
-	private equalShare(account: Account, {daemons, unheardOf}: QuotaPeers, nowMs: number): number {
+	private equalShare(account: Account, {daemons, unreportedDaemons: unheardOf}: QuotaPeers, nowMs: number): number {
 		const hasRestarted = !this.isFirstStart && nowMs - this.startedAtMs < this.bounds.windowMs;
 		return this.granted(account, nowMs) / (daemons + unheardOf) / (hasRestarted ? 2 : 1);
 	}
--- a/src/coordination/recent-records.ts
+++ b/src/coordination/recent-records.ts
@@ -1,5 +1,5 @@
 /** The latest records of a topic, kept so that a relay can send them to daemons whose views lack them. */
-import {type TopicNews} from '../protocol/fleet-messages.js';
+import {type TopicUpdate} from '../protocol/fleet-messages.js';
 import {type KeyedRecord} from '../protocol/platform.js';
 
 /** Number of records that are kept; enough for several seconds of changes while 30 backend servers are reclaimed. */
@@ -24,9 +24,9 @@
 	}
 
 	/** Returns the records from an offset on, up to the size of one message; none if the record at the offset is not kept. */
-	startingAt(offset: number | undefined): TopicNews['records'] {
+	startingAt(offset: number | undefined): TopicUpdate['records'] {
 		const first = this.records.findIndex(record => record.offset === offset);
-		const selected: TopicNews['records'] = [];
+		const selected: TopicUpdate['records'] = [];
 		let bytes = 0;
 		for (const record of first === -1 ? [] : this.records.slice(first)) {
 			bytes += record.key.length + (record.value?.length ?? 0);
--- a/src/coordination/record-sinks.ts
+++ b/src/coordination/record-sinks.ts
@@ -1,5 +1,5 @@
 /** The sinks that apply the records of the followed topics to the daemon's tables. A record that cannot be decoded is logged and skipped. */
-import {type KeyedRecord, type Records} from '../protocol/platform.js';
+import {type KeyedRecord, type RecordDecoder} from '../protocol/platform.js';
 import {type BackendTable} from '../state/backend-table.js';
 import {type RouteTable} from '../state/route-table.js';
 import {createLogger} from '../log.js';
@@ -14,7 +14,7 @@
 export class ConfigSink implements RecordSink {
 	/** @param onChange Called after each version that takes effect. */
 	constructor(
-		private readonly records: Records,
+		private readonly records: RecordDecoder,
 		private readonly routes: RouteTable,
 		private readonly onChange: () => void,
 	) {}
@@ -47,16 +47,16 @@
 /** Applies the list of backend servers to the table of backend servers. */
 export class BackendsSink implements RecordSink {
 	/** Whether a complete list has been read. */
-	isKnown = false;
+	isLoaded = false;
 	/** When a backend server was last added to the list. */
-	grownAtMs = Number.NEGATIVE_INFINITY;
+	lastAddedAtMs = Number.NEGATIVE_INFINITY;
 
 	/** Keys whose entries could not be decoded; each is logged once. */
 	private readonly unreadableKeys = new Set<string>();
 
 	/** @param onList Called after each complete list. */
 	constructor(
-		private readonly records: Records,
+		private readonly records: RecordDecoder,
 		private readonly backends: BackendTable,
 		private readonly onList: () => void,
 	) {}
@@ -67,14 +67,14 @@
 		}
 
 		this.backends.retain(new Set(records.map(record => record.key)), nowMs);
-		this.isKnown = true;
+		this.isLoaded = true;
 		this.onList();
 	}
 
 	apply(record: KeyedRecord, nowMs: number): void {
 		if (!record.value) {
 			this.unreadableKeys.delete(record.key);
-			const entry = this.backends.vanish(record.key, nowMs);
+			const entry = this.backends.markRemoved(record.key, nowMs);
 			log.info('backend server removed from the list.', {backend: record.key, wasLeaving: entry?.leavingSinceMs !== undefined, offset: record.offset});
 			return;
 		}
@@ -82,8 +82,8 @@
 		try {
 			const backend = this.records.readBackend(record.key, record.value);
 			this.unreadableKeys.delete(record.key);
-			const {beganToLeave, isNew} = this.backends.upsert(backend, nowMs);
-			this.grownAtMs = isNew ? nowMs : this.grownAtMs;
+			const {hasStartedLeaving: beganToLeave, isNew} = this.backends.upsert(backend, nowMs);
+			this.lastAddedAtMs = isNew ? nowMs : this.lastAddedAtMs;
 			if (beganToLeave || isNew) {
 				log.info(beganToLeave ? 'backend server is leaving.' : 'backend server added to the list.', {
 					backend: backend.id,
@@ -102,7 +102,7 @@
 
 	/** Withholds work from a backend server whose entry cannot be decoded. This is logged once until a valid entry follows, since other writers may repeat the entry. */
 	private withholdWork(record: KeyedRecord, nowMs: number, error: unknown): void {
-		this.backends.withhold(record.key, nowMs);
+		this.backends.markUnreadable(record.key, nowMs);
 		if (!this.unreadableKeys.has(record.key) && this.unreadableKeys.size < maxLoggedKeys) {
 			this.unreadableKeys.add(record.key);
 			log.error('cannot decode the entry of a backend server, skipping it.', {backend: record.key, offset: record.offset, error: String(error)});
--- a/src/coordination/retry-allowance.ts
+++ b/src/coordination/retry-budget.ts
@@ -8,13 +8,13 @@
  */
 
 /** The purpose of a further attempt. Moves of running streams may use a part of the budget that retries may not. */
-export enum RepeatPurpose {
+export enum RetryPurpose {
 	Retry = 'retry',
 	Move = 'move',
 }
 
 /** Share of the budget up to which each purpose may use it; the rest covers daemons that are not known yet. */
-const usableShares: Record<RepeatPurpose, number> = {[RepeatPurpose.Retry]: 0.75, [RepeatPurpose.Move]: 0.9};
+const usableShares: Record<RetryPurpose, number> = {[RetryPurpose.Retry]: 0.75, [RetryPurpose.Move]: 0.9};
 /** Steps that the window is counted in. */
 const windowSteps = 10;
 
@@ -22,7 +22,7 @@
 export type RetryBudgetLimits = {ratio: number; windowMs: number; slack: number};
 
 /** The retry budget of a gateway, which has no setting for it: one retry for five requests, and some for a short outage of one engine. */
-export const defaultRetryBound: RetryBudgetLimits = {ratio: 0.2, windowMs: 10_000, slack: 27};
+export const defaultRetryLimits: RetryBudgetLimits = {ratio: 0.2, windowMs: 10_000, slack: 27};
 
 /** First attempts of requests and further attempts, by step. */
 type Counts = {step: number; firstAttempts: number; extraAttempts: number};
@@ -57,7 +57,7 @@
 	}
 
 	/** Returns the sums over the window. */
-	sum(nowMs: number): {firsts: number; repeats: number} {
+	sum(nowMs: number): {firstAttempts: number; extraAttempts: number} {
 		this.currentCounts(nowMs);
 		let requests = 0;
 		let retries = 0;
@@ -66,7 +66,7 @@
 			retries += count.extraAttempts;
 		}
 
-		return {firsts: requests, repeats: retries};
+		return {firstAttempts: requests, extraAttempts: retries};
 	}
 
 	private stepOf(atMs: number): number {
@@ -75,7 +75,7 @@
 }
 
 /** This daemon's share of the retry budgets of all services. */
-export class RetryAllowance {
+export class RetryBudget {
 	private readonly windows = new Map<string, ServiceWindow>();
 
 	constructor(private readonly bound: RetryBudgetLimits) {}
@@ -86,9 +86,9 @@
 	}
 
 	/** Takes one further attempt from the budget if this daemon's share allows it; `daemons` is the number of daemons that share the budget. */
-	take(service: string, purpose: RepeatPurpose, daemons: number, nowMs: number): boolean {
+	tryTake(service: string, purpose: RetryPurpose, daemons: number, nowMs: number): boolean {
 		const window = this.window(service);
-		const {firsts: requests, repeats: retries} = window.sum(nowMs);
+		const {firstAttempts: requests, extraAttempts: retries} = window.sum(nowMs);
 		const share = (this.bound.ratio * requests) + (this.bound.slack / Math.max(1, daemons));
 		if (retries + 1 > share * usableShares[purpose]) {
 			return false;
@@ -107,7 +107,7 @@
 	}
 
 	/** Returns the first and further attempts for a service in the window. */
-	used(service: string, nowMs: number): {firsts: number; repeats: number} {
+	attemptsInWindow(service: string, nowMs: number): {firstAttempts: number; extraAttempts: number} {
 		return this.window(service).sum(nowMs);
 	}
 
--- a/src/coordination/router.ts
+++ b/src/coordination/router.ts
@@ -7,7 +7,7 @@
 import {createHash} from 'node:crypto';
 import {type BackendServer} from '../protocol/gateway-settings.js';
 import {type EngineLoad} from '../protocol/engine-api.js';
-import {promptTokens} from '../protocol/tokens.js';
+import {tokenizePrompt} from '../protocol/tokens.js';
 import {NoBackendError} from './errors.js';
 
 /** Leading tokens of the prompt that make up the prefix for affinity. */
@@ -68,7 +68,7 @@
 		throw new NoBackendError(`no backend server can take the request (${candidates.length} known, ${excluded.size} excluded)`);
 	}
 
-	const prefix = promptTokens(prompt).slice(0, affinityTokens).join(' ');
+	const prefix = tokenizePrompt(prompt).slice(0, affinityTokens).join(' ');
 	const ranked = usable
 		.map(backend => ({backend, load: estimateLoad(loads.get(backend.id), nowMs), score: affinityScore(prefix, backend.id)}))
 		.toSorted((a, b) => b.score - a.score);
--- a/src/coordination/service-calls.ts
+++ b/src/coordination/service-calls.ts
@@ -10,7 +10,7 @@
 import {createLogger} from '../log.js';
 import {type BackendDirectory} from './backend-directory.js';
 import {ClaimOutcome, type Journal} from './journal.js';
-import {defaultRetryBound, RepeatPurpose, RetryAllowance} from './retry-allowance.js';
+import {defaultRetryLimits, RetryPurpose, RetryBudget} from './retry-budget.js';
 import {NoBackendError, OutcomeUnknownError} from './errors.js';
 
 const log = createLogger('services');
@@ -27,7 +27,7 @@
 	/** The path after `/v1/` at the backend server. */
 	call: string;
 	idempotencyKey: string;
-	idempotent: boolean;
+	isIdempotent: boolean;
 	payload: unknown;
 };
 
@@ -41,7 +41,7 @@
 export class ServiceCalls {
 	private nextTargetIndex = 0;
 	private readonly avoidedUntilMs = new Map<string, number>();
-	private readonly retries = new RetryAllowance(defaultRetryBound);
+	private readonly retries = new RetryBudget(defaultRetryLimits);
 
 	constructor(
 		private readonly directory: BackendDirectory,
@@ -57,7 +57,7 @@
 	 */
 	async call(call: ServiceCall, signal: AbortSignal): Promise<JsonResponse<unknown>> {
 		this.orderTargets(call.service, Date.now());
-		if (call.idempotent) {
+		if (call.isIdempotent) {
 			return this.dispatch(call);
 		}
 
@@ -100,7 +100,7 @@
 				this.avoidedUntilMs.set(target.id, Date.now() + avoidAfterFailureMs);
 				log.warn('backend server failed.', {service: call.service, backend: target.id, error: String(error)});
 				const wasNeverSent = error instanceof ConnectError;
-				if (!wasNeverSent && !(call.idempotent && tried.size < maxAttempts && this.retries.take(call.service, RepeatPurpose.Retry, 1, Date.now()))) {
+				if (!wasNeverSent && !(call.isIdempotent && tried.size < maxAttempts && this.retries.tryTake(call.service, RetryPurpose.Retry, 1, Date.now()))) {
 					throw new OutcomeUnknownError(`call to ${target.id} may have run`, {cause: error});
 				}
 			}
@@ -114,7 +114,7 @@
 	 * @throws {NoBackendError} When the service has none.
 	 */
 	private orderTargets(service: string, nowMs: number): BackendServer[] {
-		const targets = this.directory.takingWork(BackendKind.Service).filter(backend => backend.name === service);
+		const targets = this.directory.acceptingWork(BackendKind.Service).filter(backend => backend.name === service);
 		if (targets.length === 0) {
 			throw new NoBackendError(`no backend server of service ${service} is available`);
 		}
--- a/src/coordination/serving/__tests__/backend-selector.test.ts
+++ b/src/coordination/serving/__tests__/backend-selector.test.ts
@@ -11,7 +11,7 @@
 import {FleetTable} from '../../fleet/fleet-table.js';
 import {Placement} from '../../placement.js';
 import {Quarantine} from '../../quarantine/quarantine.js';
-import {RepeatPurpose, RetryAllowance} from '../../retry-allowance.js';
+import {RetryPurpose, RetryBudget} from '../../retry-budget.js';
 import {StatedLimits} from '../../stated-limits.js';
 import {BackendSelector} from '../backend-selector.js';
 import {ServedRequest} from '../served-request.js';
@@ -54,9 +54,9 @@
 	const selector = new BackendSelector({
 		backends, placement, fleet, quarantine, statedLimits: limits, clock,
 	});
-	const allowance = new RetryAllowance({ratio: 0, windowMs: 10_000, slack: 100});
+	const allowance = new RetryBudget({ratio: 0, windowMs: 10_000, slack: 100});
 	const reservations = new RetryReservations({
-		selector, allowance, fleet, quarantine, clock,
+		selector, retryBudget: allowance, fleet, quarantine, clock,
 	});
 	return {selector, limits, reservations};
 }
@@ -100,7 +100,7 @@
 		const {reservations} = createSelector(true, 500);
 		const reservedIds = Array.from({length: 20}, () => {
 			const served = createRequest();
-			expect(reservations.reserve(served, 'elsewhere', RepeatPurpose.Move, 0)).toBe(true);
+			expect(reservations.reserve(served, 'elsewhere', RetryPurpose.Move, 0)).toBe(true);
 			return reservations.reservedBackend(served)!.id;
 		});
 		expect(reservedIds.filter(id => id === 'limited')).toHaveLength(1);
--- a/src/coordination/serving/__tests__/forwarded-stream.test.ts
+++ b/src/coordination/serving/__tests__/forwarded-stream.test.ts
@@ -8,7 +8,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {describe, expect, it} from 'vitest';
 import {BackendState} from '../../../protocol/serving.js';
-import {BackendPool, exchange} from '../../../transport/backend-pool.js';
+import {BackendConnectionPool, sendBackendRequest} from '../../../transport/backend-connection-pool.js';
 import {Placement} from '../../placement.js';
 import {DispatchKind} from '../dispatcher.js';
 import {ForwardedStream, InterruptCause, RunEnd} from '../forwarded-stream.js';
@@ -45,9 +45,9 @@
 			id: 'e', name: 'e', startedAtMs: undefined, service: 's', host: '127.0.0.1', port: (server.address() as AddressInfo).port, failureDomain: 'fd', slots: 1, state: BackendState.Ready, isReclaimable: false, leavesInMs: undefined, coldForMs: 0,
 		};
 		const abort = new AbortController();
-		const pool = new BackendPool();
-		const answer = await exchange(pool, {
-			backend, method: 'GET', path: '/', headers: ['Host', 'x'], body: undefined, isRepeatable: true, connectMs: 1000, signal: abort.signal,
+		const pool = new BackendConnectionPool();
+		const answer = await sendBackendRequest(pool, {
+			backend, method: 'GET', path: '/', headers: ['Host', 'x'], body: undefined, isRetryable: true, connectTimeoutMs: 1000, signal: abort.signal,
 		});
 		const stream = new ForwardedStream(undefined as never, new StalledResponse() as unknown as ServerResponse, () => undefined, () => 0);
 		const ended = stream.forwardRun({
--- a/src/coordination/serving/backend-selector.ts
+++ b/src/coordination/serving/backend-selector.ts
@@ -4,9 +4,9 @@
 import {type SteadyClock} from '../../clock.js';
 import {backendKey} from '../fleet/backend-key.js';
 import {type FleetTable} from '../fleet/fleet-table.js';
-import {type Choice, type Placement} from '../placement.js';
+import {type PlacementChoice, type Placement} from '../placement.js';
 import {type Quarantine} from '../quarantine/quarantine.js';
-import {Permission, type StatedLimits} from '../stated-limits.js';
+import {SendPermission, type StatedLimits} from '../stated-limits.js';
 import {type ServedRequest} from './served-request.js';
 
 /** What a {@link BackendSelector} depends on. */
@@ -24,7 +24,7 @@
 	constructor(private readonly dependencies: BackendSelectorDependencies) {}
 
 	/** Selects the backend server that a request would be sent to now, other than the one that is running it. */
-	select(served: ServedRequest, currentBackendId?: string): Choice | undefined {
+	select(served: ServedRequest, currentBackendId?: string): PlacementChoice | undefined {
 		const {backends, placement, fleet, quarantine, clock} = this.dependencies;
 		const {request, service} = served.inputs;
 		const nowMs = clock.now();
@@ -58,13 +58,13 @@
 		const {backends, statedLimits, clock} = this.dependencies;
 		const entry = backends.get(backend.id);
 		const isStaying = entry !== undefined && entry.leavingSinceMs === undefined;
-		return isStaying && !served.excluded.has(backend.id) && (isRateLimitCharged || statedLimits.permission(backend.id, clock.now()) !== Permission.Withheld);
+		return isStaying && !served.excluded.has(backend.id) && (isRateLimitCharged || statedLimits.permission(backend.id, clock.now()) !== SendPermission.Withheld);
 	}
 
 	/** Milliseconds until a rate-limited backend server of the request's service may receive a request; undefined when none of them is rate-limited. */
 	rateLimitWaitMs(served: ServedRequest, nowMs: number): number | undefined {
 		const {statedLimits, backends} = this.dependencies;
-		return statedLimits.isEmpty ? undefined : statedLimits.returnAfterMs(backends.candidates(served.inputs.service, nowMs).map(({id}) => id), nowMs);
+		return statedLimits.isEmpty ? undefined : statedLimits.retryAfterMs(backends.candidates(served.inputs.service, nowMs).map(({id}) => id), nowMs);
 	}
 
 	/** Returns the candidates whose rate limits allow a request now. If the limit of any of them has not been confirmed recently, returns only those, so that this request refreshes it. */
@@ -75,7 +75,7 @@
 		}
 
 		const permissions = new Map(candidates.map(({id}) => [id, statedLimits.permission(id, nowMs)]));
-		const due = candidates.filter(({id}) => permissions.get(id) === Permission.Due && !excluded.has(id));
-		return due.length > 0 ? due : candidates.filter(({id}) => permissions.get(id) !== Permission.Withheld);
+		const due = candidates.filter(({id}) => permissions.get(id) === SendPermission.ProbeDue && !excluded.has(id));
+		return due.length > 0 ? due : candidates.filter(({id}) => permissions.get(id) !== SendPermission.Withheld);
 	}
 }
--- a/src/coordination/serving/dispatcher.ts
+++ b/src/coordination/serving/dispatcher.ts
@@ -4,17 +4,17 @@
  * may have run.
  */
 import {type Dialect} from '../../protocol/platform.js';
-import {type AnswerMarks, type Backend} from '../../protocol/serving.js';
+import {type AnswerMetadata, type Backend} from '../../protocol/serving.js';
 import {type BackendTable} from '../../state/backend-table.js';
 import {type SteadyClock} from '../../clock.js';
-import {type BackendAnswer, type BackendPool, exchange} from '../../transport/backend-pool.js';
+import {type BackendResponse, type BackendConnectionPool, sendBackendRequest} from '../../transport/backend-connection-pool.js';
 import {ConnectError} from '../../transport/errors.js';
 import {createLogger} from '../../log.js';
 import {type FleetTable} from '../fleet/fleet-table.js';
-import {type Choice, type Placement, type RunningRequest} from '../placement.js';
+import {type PlacementChoice, type Placement, type RunningRequest} from '../placement.js';
 import {type CrashWatch} from '../quarantine/crash-watch.js';
 import {type Quarantine} from '../quarantine/quarantine.js';
-import {type RepeatPurpose, type RetryAllowance} from '../retry-allowance.js';
+import {type RetryPurpose, type RetryBudget} from '../retry-budget.js';
 import {type StatedLimits} from '../stated-limits.js';
 import {BackendSelector} from './backend-selector.js';
 import {type Attempt, type ServedRequest} from './served-request.js';
@@ -56,8 +56,8 @@
 export type StartedAnswer = {
 	kind: DispatchKind.Answer;
 	backend: Backend;
-	answer: BackendAnswer;
-	marks: AnswerMarks;
+	answer: BackendResponse;
+	marks: AnswerMetadata;
 	running: RunningRequest;
 	attempt: Attempt;
 	/** Closes the connection. */
@@ -73,7 +73,7 @@
 	target?: Backend;
 	lastEventId?: string;
 	kvSource?: string;
-	purpose: RepeatPurpose;
+	purpose: RetryPurpose;
 	/** Time until the head of the answer must arrive, in milliseconds. */
 	firstByteTimeoutMs: number;
 	/** Time in milliseconds after which the attempt is cancelled as soon as a retry is reserved; undefined when no retry is allowed. */
@@ -88,10 +88,10 @@
 	backends: BackendTable;
 	placement: Placement;
 	fleet: FleetTable;
-	allowance: RetryAllowance;
-	pool: BackendPool;
+	retryBudget: RetryBudget;
+	pool: BackendConnectionPool;
 	quarantine: Quarantine;
-	crashes: CrashWatch;
+	crashWatch: CrashWatch;
 	statedLimits: StatedLimits;
 	clock: SteadyClock;
 };
@@ -166,7 +166,7 @@
 
 	/** Records that a run broke off; the next attempt waits until it is known whether the backend server has crashed. */
 	recordBrokenRun(served: ServedRequest, backend: Backend): void {
-		served.crashCheck = this.dependencies.crashes.recordBrokenRun(served.fingerprint, backend);
+		served.crashCheck = this.dependencies.crashWatch.recordBrokenRun(served.fingerprint, backend);
 	}
 
 	/** Records that a backend server answered a request completely. */
@@ -177,7 +177,7 @@
 		}
 	}
 
-	private async sendTo(served: ServedRequest, choice: Pick<Choice, 'backend' | 'costMs' | 'copyFrom'>, options: DispatchOptions): Promise<StartedAnswer | FailedDispatch> {
+	private async sendTo(served: ServedRequest, choice: Pick<PlacementChoice, 'backend' | 'costMs' | 'copyFrom'>, options: DispatchOptions): Promise<StartedAnswer | FailedDispatch> {
 		const {backend, costMs, copyFrom} = choice;
 		const {dialect, placement, pool, clock} = this.dependencies;
 		const {request, account, body, signal} = served.inputs;
@@ -204,7 +204,7 @@
 		};
 
 		try {
-			const answer = await exchange(pool, {
+			const answer = await sendBackendRequest(pool, {
 				backend,
 				method: request.method,
 				path: request.path,
@@ -218,8 +218,8 @@
 					copyFrom,
 				}),
 				body,
-				isRepeatable: served.isRetryable,
-				connectMs: Math.min(connectTimeoutMs, options.firstByteTimeoutMs),
+				isRetryable: served.isRetryable,
+				connectTimeoutMs: Math.min(connectTimeoutMs, options.firstByteTimeoutMs),
 				signal: abort.signal,
 			});
 			served.deliveries++;
@@ -293,7 +293,7 @@
 
 		if (answer.status === misdirectedRequestStatus || marks.isNotRun) {
 			if (answer.status === misdirectedRequestStatus) {
-				backends.replaced(backend.id, nowMs);
+				backends.markReplaced(backend.id, nowMs);
 				log.info('address now belongs to another backend server.', {backend: backend.id});
 			} else {
 				placement.noteFailure(backend.id, nowMs);
--- a/src/coordination/serving/final-answers.ts
+++ b/src/coordination/serving/final-answers.ts
@@ -3,8 +3,8 @@
  * never will; 502 and 504 guarantee nothing.
  */
 import {type ServerResponse} from 'node:http';
-import {connectionHeaders} from '../../transport/connection-headers.js';
-import {writeOwnAnswer} from '../../transport/front-server.js';
+import {hopByHopHeaders} from '../../transport/hop-by-hop-headers.js';
+import {writeErrorResponse} from '../../transport/front-server.js';
 
 /** Bounds of the Retry-After of a refusal, in milliseconds. */
 const minRetryAfterMs = 150;
@@ -16,7 +16,7 @@
 export function filterForwardedHeaders(rawHeaders: string[]): string[] {
 	const headers: string[] = [];
 	for (let index = 0; index < rawHeaders.length; index += 2) {
-		if (!connectionHeaders.has(rawHeaders[index].toLowerCase())) {
+		if (!hopByHopHeaders.has(rawHeaders[index].toLowerCase())) {
 			headers.push(rawHeaders[index], rawHeaders[index + 1]);
 		}
 	}
@@ -37,7 +37,7 @@
 
 /** Writes a refusal: the request has not run and never will. */
 export function writeRefusal(response: ServerResponse, status: 429 | 503, reason: string, retryAfterMs: number): void {
-	writeOwnAnswer(response, status, reason, {'Retry-After': (retryAfterMs / 1000).toFixed(2)});
+	writeErrorResponse(response, status, reason, {'Retry-After': (retryAfterMs / 1000).toFixed(2)});
 }
 
 /** Writes the complete answer of a backend server. */
--- a/src/coordination/serving/forwarded-stream.ts
+++ b/src/coordination/serving/forwarded-stream.ts
@@ -165,7 +165,7 @@
 			source.once('end', () => {
 				// An answer that is closed while paused by a slow client ends as if it were complete, with its last events unread.
 				const isClosed = this.interruptCause !== undefined || run.abort.signal.aborted;
-				if (isClosed || !answer.isWhole || splitter.hasPartial) {
+				if (isClosed || !answer.isComplete || splitter.hasPartialEvent) {
 					endAsBroken();
 					return;
 				}
@@ -210,7 +210,7 @@
 			this.onFirstEvent();
 		}
 
-		run.running.noteRead();
+		run.running.notePrefilled();
 		this.writeHead(run);
 		this.events++;
 		this.lastEventId = event.id ?? this.lastEventId;
--- a/src/coordination/serving/forwarder.ts
+++ b/src/coordination/serving/forwarder.ts
@@ -9,15 +9,15 @@
 	type Account, type CallerRequest, RequestKind, type Route,
 } from '../../protocol/serving.js';
 import {type SteadyClock} from '../../clock.js';
-import {type Gate} from '../../gate.js';
-import {type Belief} from '../../state/belief.js';
+import {type Latch} from '../../latch.js';
+import {type ViewAge} from '../../state/view-age.js';
 import {type RouteTable} from '../../state/route-table.js';
-import {type FrontRequest, writeOwnAnswer} from '../../transport/front-server.js';
+import {type FrontRequest, writeErrorResponse} from '../../transport/front-server.js';
 import {createLogger} from '../../log.js';
 import {type Quarantine} from '../quarantine/quarantine.js';
 import {formatFingerprint, computeFingerprint} from '../quarantine/request-fingerprint.js';
 import {type QuotaLedger, type QuotaPeers, requestCost} from '../quota-ledger.js';
-import {type RetryAllowance} from '../retry-allowance.js';
+import {type RetryBudget} from '../retry-budget.js';
 import {type UsageLedger} from '../usage-ledger.js';
 import {type UnaryResult, forwardUnary} from './unary-forwarding.js';
 import {type Dispatcher} from './dispatcher.js';
@@ -51,22 +51,22 @@
 export type ForwarderDependencies = {
 	dialect: Dialect;
 	routes: RouteTable;
-	belief: Belief;
+	configView: ViewAge;
 	/** Age of the view in milliseconds beyond which a key that it lists may have been revoked. */
-	mostBeliefMs: number;
+	maxViewAgeMs: number;
 	/** Age of the view in milliseconds beyond which it may lack an added route or key: an unknown one is then answered with 503 instead of 404 or 401. */
-	mostDenialMs: number;
+	maxDenialViewAgeMs: number;
 	dispatcher: Dispatcher;
 	registry: StreamRegistry;
 	quota: QuotaLedger;
 	usage: UsageLedger;
-	allowance: RetryAllowance;
+	retryBudget: RetryBudget;
 	quarantine: Quarantine;
 	clock: SteadyClock;
 	/** Returns what is known of the other daemons that share the limits. */
 	quotaPeers: (nowMs: number) => QuotaPeers;
 	/** Opens once the configuration and the backend servers have been read. */
-	firstView: Gate;
+	initialView: Latch;
 	metrics: RequestMetrics;
 };
 
@@ -92,11 +92,11 @@
 	constructor(private readonly dependencies: ForwarderDependencies) {}
 
 	async handle(front: FrontRequest): Promise<void> {
-		const {dialect, clock, routes, firstView} = this.dependencies;
+		const {dialect, clock, routes, initialView: firstView} = this.dependencies;
 		const arrivedAtMs = clock.now();
 		const request = dialect.readRequest(front.method, front.path, front.rawHeaders);
 		if (!request || request.id === '') {
-			writeOwnAnswer(front.response, 400, 'contradicting or missing headers');
+			writeErrorResponse(front.response, 400, 'contradicting or missing headers');
 			return;
 		}
 
@@ -125,7 +125,7 @@
 	/** Finds the route and the account of a request and charges its cost to the account's limit. */
 	private admit(request: CallerRequest, body: Uint8Array, nowMs: number): Admission | Rejection {
 		const {
-			routes, belief, mostBeliefMs, mostDenialMs, quota, quotaPeers, allowance, quarantine,
+			routes, configView: belief, maxViewAgeMs: mostBeliefMs, maxDenialViewAgeMs: mostDenialMs, quota, quotaPeers, retryBudget: allowance, quarantine,
 		} = this.dependencies;
 		if (!routes.current) {
 			return {status: 503, reason: 'configuration not known yet', retryAfterMs: outageRetryAfterMs};
@@ -139,7 +139,7 @@
 		}
 
 		let account: Account | undefined;
-		if (!route.isPublic && routes.needsKeys) {
+		if (!route.isPublic && routes.requiresApiKeys) {
 			account = request.apiKey === undefined ? undefined : routes.accountOf(request.apiKey);
 			if (viewAgeMs > (account ? mostBeliefMs : mostDenialMs)) {
 				return outdated;
@@ -165,7 +165,7 @@
 		const peers = quotaPeers(nowMs);
 		const refusal = account && quota.admit(account, cost, peers, Math.random(), nowMs);
 		if (refusal) {
-			return {status: 429, reason: `over the limit of ${account!.name}: cost ${cost}, ${refusal.waitMs} ms short, ${peers.silent} of ${peers.daemons} daemons silent`, retryAfterMs: refusal.waitMs};
+			return {status: 429, reason: `over the limit of ${account!.name}: cost ${cost}, ${refusal.waitMs} ms short, ${peers.silentDaemons} of ${peers.daemons} daemons silent`, retryAfterMs: refusal.waitMs};
 		}
 
 		allowance.countRequest(service, nowMs);
@@ -187,11 +187,11 @@
 
 	private reject(front: FrontRequest, id: string, rejection: Rejection, nowMs: number): void {
 		const {status, reason, retryAfterMs} = rejection;
-		const {routes, belief, metrics} = this.dependencies;
+		const {routes, configView: belief, metrics} = this.dependencies;
 		if (status === 429 || status === 503) {
 			writeRefusal(front.response, status, reason, addRetryJitter(retryAfterMs ?? outageRetryAfterMs));
 		} else {
-			writeOwnAnswer(front.response, status, reason);
+			writeErrorResponse(front.response, status, reason);
 		}
 
 		metrics.recordRequest('none', Outcome.Rejected, 0);
@@ -246,7 +246,7 @@
 			this.refuseServed(served, front, result.reason);
 		} else {
 			const isLate = served.remainingMs(this.dependencies.clock.now()) <= timerToleranceMs;
-			writeOwnAnswer(front.response, isLate ? 504 : 502, result.reason);
+			writeErrorResponse(front.response, isLate ? 504 : 502, result.reason);
 			this.recordOutcome(served, Outcome.Unknown, {status: isLate ? 504 : 502, reason: result.reason});
 		}
 	}
@@ -263,13 +263,13 @@
 		const {account} = served.inputs;
 		if (!served.isUsageCounted && account) {
 			served.isUsageCounted = true;
-			this.dependencies.usage.count(account.name, this.dependencies.clock.wallNow());
+			this.dependencies.usage.count(account.name, this.dependencies.clock.wallTimeMs());
 		}
 	}
 
 	/** Counts a finished request in the metrics and writes its log line. */
 	private recordOutcome(served: ServedRequest, outcome: Outcome, details: {status?: number; events?: number; reason?: string}): void {
-		const {clock, belief, metrics} = this.dependencies;
+		const {clock, configView: belief, metrics} = this.dependencies;
 		const {request, route, account, service, configVersion, arrivedAtMs} = served.inputs;
 		const nowMs = clock.now();
 		metrics.recordRequest(route.name, outcome, (nowMs - arrivedAtMs) / 1000);
--- a/src/coordination/serving/retry-reservations.ts
+++ b/src/coordination/serving/retry-reservations.ts
@@ -7,7 +7,7 @@
 import {type SteadyClock} from '../../clock.js';
 import {type FleetTable} from '../fleet/fleet-table.js';
 import {type Quarantine} from '../quarantine/quarantine.js';
-import {type RepeatPurpose, type RetryAllowance} from '../retry-allowance.js';
+import {type RetryPurpose, type RetryBudget} from '../retry-budget.js';
 import {type BackendSelector} from './backend-selector.js';
 import {type ServedRequest, type RetryReservation} from './served-request.js';
 
@@ -17,7 +17,7 @@
 /** What {@link RetryReservations} depends on. */
 export type RetryReservationsDependencies = {
 	selector: BackendSelector;
-	allowance: RetryAllowance;
+	retryBudget: RetryBudget;
 	fleet: FleetTable;
 	quarantine: Quarantine;
 	clock: SteadyClock;
@@ -28,7 +28,7 @@
 	constructor(private readonly dependencies: RetryReservationsDependencies) {}
 
 	/** Reserves a backend server and a retry from the budget for the next run of a request; returns whether one is reserved. */
-	reserve(served: ServedRequest, currentBackendId: string, purpose: RepeatPurpose, nowMs: number): boolean {
+	reserve(served: ServedRequest, currentBackendId: string, purpose: RetryPurpose, nowMs: number): boolean {
 		if (this.isRetryForbidden(served) || served.remainingMs(nowMs) < served.inputs.route.latencyTargetMs * minLatencyTargetShare) {
 			return false;
 		}
@@ -83,13 +83,13 @@
 	/** Whether a request that has been sent before is quarantined and must not be sent again. */
 	isRetryForbidden(served: ServedRequest): boolean {
 		const {quarantine} = this.dependencies;
-		return served.attempts.length > 0 && !quarantine.isEmpty && quarantine.forbidsRepeat(served.fingerprint);
+		return served.attempts.length > 0 && !quarantine.isEmpty && quarantine.forbidsRetry(served.fingerprint);
 	}
 
 	/** Takes a retry from the retry budget; returns whether there was one. */
-	takeFromBudget(served: ServedRequest, purpose: RepeatPurpose, nowMs: number): boolean {
-		const {allowance, fleet} = this.dependencies;
-		return allowance.take(served.inputs.service, purpose, fleet.daemons(nowMs), nowMs);
+	takeFromBudget(served: ServedRequest, purpose: RetryPurpose, nowMs: number): boolean {
+		const {retryBudget: allowance, fleet} = this.dependencies;
+		return allowance.tryTake(served.inputs.service, purpose, fleet.daemons(nowMs), nowMs);
 	}
 
 	/** Restores a reservation whose attempt was not delivered, unless another one was made meanwhile. */
@@ -103,13 +103,13 @@
 
 	/** Describes how much of the retry budget is used, for refusal reasons and logs. */
 	describeBudget(served: ServedRequest): string {
-		const {allowance, fleet, clock} = this.dependencies;
+		const {retryBudget: allowance, fleet, clock} = this.dependencies;
 		const nowMs = clock.now();
-		const {firsts, repeats} = allowance.used(served.inputs.service, nowMs);
+		const {firstAttempts: firsts, extraAttempts: repeats} = allowance.attemptsInWindow(served.inputs.service, nowMs);
 		return `${repeats} repeats for ${firsts} requests, ${fleet.daemons(nowMs)} daemons`;
 	}
 
 	private returnToBudget(served: ServedRequest, takenAtMs: number): void {
-		this.dependencies.allowance.giveBack(served.inputs.service, takenAtMs);
+		this.dependencies.retryBudget.giveBack(served.inputs.service, takenAtMs);
 	}
 }
--- a/src/coordination/serving/served-request.ts
+++ b/src/coordination/serving/served-request.ts
@@ -3,7 +3,7 @@
 import {
 	type Account, type CallerRequest, RequestKind, type Route,
 } from '../../protocol/serving.js';
-import {type Choice} from '../placement.js';
+import {type PlacementChoice} from '../placement.js';
 import {computeFingerprint} from '../quarantine/request-fingerprint.js';
 
 /** One attempt: the request sent to one backend server. `sentAfterMs` counts from the request's arrival. */
@@ -28,7 +28,7 @@
 
 /** A backend server reserved for a request's next attempt, and a retry taken from the retry budget for it. */
 export type RetryReservation = {
-	choice: Pick<Choice, 'backend' | 'costMs' | 'copyFrom'>;
+	choice: Pick<PlacementChoice, 'backend' | 'costMs' | 'copyFrom'>;
 	reservedAtMs: number;
 	/** Whether the attempt is already charged to the rate limit of its backend server. */
 	isRateLimitCharged: boolean;
--- a/src/coordination/serving/stream-forwarding.ts
+++ b/src/coordination/serving/stream-forwarding.ts
@@ -5,7 +5,7 @@
  * the last event delivered, if the route allows that.
  */
 import {type ServerResponse} from 'node:http';
-import {RepeatPurpose} from '../retry-allowance.js';
+import {RetryPurpose} from '../retry-budget.js';
 import {type BufferedAnswer} from './unary-forwarding.js';
 import {
 	type StartedAnswer, type Dispatcher, DispatchKind, type DispatchOptions, type FailedDispatch, isFinal,
@@ -62,7 +62,7 @@
 	while (served.remainingMs(now()) > minRemainingMs && !served.inputs.signal.aborted) {
 		// eslint-disable-next-line no-await-in-loop -- one engine after the other.
 		const dispatched: StartedAnswer | FailedDispatch = takenOver ?? await dispatcher.send(served, {
-			purpose: RepeatPurpose.Retry, firstByteTimeoutMs: served.remainingMs(now()), softTimeoutMs: calculateSoftTimeoutMs(served, stream), lastEventId: stream.lastEventId, ...next,
+			purpose: RetryPurpose.Retry, firstByteTimeoutMs: served.remainingMs(now()), softTimeoutMs: calculateSoftTimeoutMs(served, stream), lastEventId: stream.lastEventId, ...next,
 		});
 		takenOver = undefined;
 		if (dispatched.kind !== DispatchKind.Answer && isFinal(dispatched.kind)) {
@@ -98,11 +98,11 @@
 		}
 
 		if (moved) {
-			next = {target: moved.target, kvSource: moved.run.kvSource, purpose: RepeatPurpose.Move};
+			next = {target: moved.target, kvSource: moved.run.kvSource, purpose: RetryPurpose.Move};
 		} else if (served.mayHaveRun && !served.canRunAgain) {
 			break;
 		} else {
-			next = stream.events > 0 ? {purpose: RepeatPurpose.Move} : {};
+			next = stream.events > 0 ? {purpose: RetryPurpose.Move} : {};
 		}
 	}
 
--- a/src/coordination/serving/stream-registry.ts
+++ b/src/coordination/serving/stream-registry.ts
@@ -4,13 +4,13 @@
  * reclaims of a whole failure domain, where dozens of streams must move within two seconds.
  */
 import {
-	type Engines, type MoveAnswer, type MovedRun, MoveResult,
+	type EngineClient, type MoveAnswer, type MovedRun, MoveResult,
 } from '../../protocol/platform.js';
 import {type Backend} from '../../protocol/serving.js';
 import {type BackendTable} from '../../state/backend-table.js';
 import {type RouteTable} from '../../state/route-table.js';
 import {createLogger} from '../../log.js';
-import {RepeatPurpose} from '../retry-allowance.js';
+import {RetryPurpose} from '../retry-budget.js';
 import {type StartedAnswer, type Dispatcher, DispatchKind} from './dispatcher.js';
 import {
 	closeRun, type ForwardedStream, InterruptCause, type MovedStream,
@@ -19,7 +19,7 @@
 const log = createLogger('streams');
 
 /** Interval between checks of the running streams, in milliseconds. */
-export const sweepMs = 100;
+export const sweepIntervalMs = 100;
 /** Time before an engine leaves at which its streams are moved, in milliseconds: 60 moves of 20 ms each may queue. */
 const moveLeadMs = 1300;
 /** A stream that is expected to end at least this many milliseconds before its engine leaves is not moved. */
@@ -36,10 +36,10 @@
 /** The running streams of this daemon. */
 export class StreamRegistry {
 	/** Number of streams that were moved with their KV cache. */
-	moved = 0;
+	movedCount = 0;
 	private readonly streams = new Set<ForwardedStream>();
 
-	constructor(private readonly dependencies: {backends: BackendTable; engines: Engines; dispatcher: Dispatcher; routes: RouteTable; signal: AbortSignal}) {}
+	constructor(private readonly dependencies: {backends: BackendTable; engines: EngineClient; dispatcher: Dispatcher; routes: RouteTable; signal: AbortSignal}) {}
 
 	get size(): number {
 		return this.streams.size;
@@ -117,7 +117,7 @@
 			}
 		}, takeoverOverlapMs);
 		const dispatched = await this.dependencies.dispatcher.send(served, {
-			purpose: RepeatPurpose.Move, firstByteTimeoutMs: served.remainingMs(startedAtMs), lastEventId: stream.lastEventId, signal,
+			purpose: RetryPurpose.Move, firstByteTimeoutMs: served.remainingMs(startedAtMs), lastEventId: stream.lastEventId, signal,
 		});
 		clearTimeout(overlapTimer);
 		if (dispatched.kind === DispatchKind.Answer && isSuccess(dispatched) && !signal.aborted) {
@@ -139,7 +139,7 @@
 
 	/** Reserves the next run of a stream. Without a reservation the current run continues, since it may still complete. */
 	private reserve(stream: ForwardedStream, source: Backend, cause: InterruptCause, nowMs: number): boolean {
-		const isReserved = this.dependencies.dispatcher.reservations.reserve(stream.served, source.id, RepeatPurpose.Move, nowMs);
+		const isReserved = this.dependencies.dispatcher.reservations.reserve(stream.served, source.id, RetryPurpose.Move, nowMs);
 		if (!isReserved && !stream.hasLoggedNoTakeover) {
 			stream.hasLoggedNoTakeover = true;
 			log.info('stream kept on its engine, no takeover is possible.', {cause, ...toLogContext(stream, source, nowMs)});
@@ -160,7 +160,7 @@
 			// eslint-disable-next-line no-await-in-loop -- the next target only if this one has no room.
 			const {result, run} = await this.copyAndMove(stream, source, target);
 			if (run) {
-				this.moved++;
+				this.movedCount++;
 				// Events that the source sent before it stopped are still arriving; the source closes the connection after them.
 				return {target, run};
 			}
--- a/src/coordination/serving/unary-forwarding.ts
+++ b/src/coordination/serving/unary-forwarding.ts
@@ -5,7 +5,7 @@
  */
 import {RequestKind} from '../../protocol/serving.js';
 import {TransportError} from '../../transport/errors.js';
-import {RepeatPurpose} from '../retry-allowance.js';
+import {RetryPurpose} from '../retry-budget.js';
 import {
 	type StartedAnswer, type Dispatcher, type FailedDispatch, DispatchKind, isFinal,
 } from './dispatcher.js';
@@ -47,7 +47,7 @@
 		const remainingMs = served.remainingMs(now());
 		const softTimeoutMs = calculateSoftTimeoutMs(served, remainingMs);
 		// eslint-disable-next-line no-await-in-loop -- one backend server after the other.
-		const dispatched = await dispatcher.send(served, {purpose: RepeatPurpose.Retry, firstByteTimeoutMs: remainingMs, softTimeoutMs});
+		const dispatched = await dispatcher.send(served, {purpose: RetryPurpose.Retry, firstByteTimeoutMs: remainingMs, softTimeoutMs});
 		if (dispatched.kind === DispatchKind.Answer || dispatched.kind === DispatchKind.Unknown) {
 			onStarted();
 		}
--- a/src/coordination/stated-limits.ts
+++ b/src/coordination/stated-limits.ts
@@ -6,7 +6,7 @@
  * limited backend server at an even pace; the others send nothing. Daemons gossip the limits,
  * since a daemon that sends no requests gets no answers that state them.
  */
-import {type LimitNews} from '../protocol/fleet-messages.js';
+import {type LimitUpdate} from '../protocol/fleet-messages.js';
 import {createLogger} from '../log.js';
 import {backendKey} from './fleet/backend-key.js';
 
@@ -31,13 +31,13 @@
 export type SenderChoice = {isSender: boolean; senders: number};
 
 /** Whether this daemon may send a request to a backend server now. */
-export enum Permission {
+export enum SendPermission {
 	/** The backend server has no limit, or its limit allows a request. */
-	Free = 'free',
+	Allowed = 'free',
 	/** The limit allows no request now, or only other daemons send to the backend server. */
 	Withheld = 'withheld',
 	/** The limit allows a request, and one should be sent as a probe, since the backend server has not stated its limit for a while. */
-	Due = 'due',
+	ProbeDue = 'due',
 }
 
 /** What is known of one backend server's limit. */
@@ -84,18 +84,18 @@
 	}
 
 	/** Returns whether this daemon may send a request to a backend server now. */
-	permission(backendId: string, nowMs: number): Permission {
+	permission(backendId: string, nowMs: number): SendPermission {
 		const key = backendKey(backendId);
 		const entry = this.entries.get(key);
 		if (entry?.perSecond === undefined) {
-			return Permission.Free;
+			return SendPermission.Allowed;
 		}
 
 		if (nowMs < entry.nextAtMs || !this.senderChoice(key, entry, nowMs).isSender) {
-			return Permission.Withheld;
+			return SendPermission.Withheld;
 		}
 
-		return isProbeDue(entry, nowMs) ? Permission.Due : Permission.Free;
+		return isProbeDue(entry, nowMs) ? SendPermission.ProbeDue : SendPermission.Allowed;
 	}
 
 	/** Records a request sent to a backend server, which delays this daemon's next one. */
@@ -114,7 +114,7 @@
 	}
 
 	/** Returns the time until any daemon may send a request to one of these backend servers, in milliseconds; undefined when none is limited. */
-	returnAfterMs(backendIds: string[], nowMs: number): number | undefined {
+	retryAfterMs(backendIds: string[], nowMs: number): number | undefined {
 		const waits = backendIds.map(id => this.entries.get(backendKey(id))).filter(entry => entry?.perSecond !== undefined).map(entry => Math.max(requestIntervalMs(entry!.perSecond!), entry!.nextAtMs - nowMs));
 		return waits.length > 0 ? Math.min(...waits) : undefined;
 	}
@@ -125,8 +125,8 @@
 	}
 
 	/** Returns the updates for other daemons: recent changes, and with `shouldListAll` every limit in force. Drops outdated entries. */
-	news(shouldListAll: boolean, nowMs: number): LimitNews[] {
-		const updates: LimitNews[] = [];
+	updates(shouldListAll: boolean, nowMs: number): LimitUpdate[] {
+		const updates: LimitUpdate[] = [];
 		for (const [backend, {perSecond, statedAtMs, changedAtMs}] of this.entries) {
 			if (nowMs - statedAtMs > limitMaxAgeMs) {
 				this.entries.delete(backend);
@@ -139,7 +139,7 @@
 	}
 
 	/** Applies the updates of another daemon that are newer than what is known. With `shouldForward` this daemon gossips the changes on. */
-	hear(updates: LimitNews[], shouldForward: boolean, nowMs: number): void {
+	applyUpdates(updates: LimitUpdate[], shouldForward: boolean, nowMs: number): void {
 		for (const {backend, perSecond, ageMs} of updates) {
 			const known = this.entries.get(backend);
 			const statedAtMs = nowMs - ageMs;
