--- a/src/coordination/topic-follower.ts
+++ b/src/coordination/topic-follower.ts
@@ -11,17 +11,17 @@
  * read for itself, they would make 350 calls per second.
  */
 import {setTimeout as delay} from 'node:timers/promises';
-import {type TopicNews} from '../protocol/fleet-messages.js';
+import {type TopicUpdate} from '../protocol/fleet-messages.js';
 import {
 	type KeyedRecord, type RecordBatch, type Store, type Topic,
 } from '../protocol/platform.js';
-import {type Belief} from '../state/belief.js';
+import {type ViewAge} from '../state/view-age.js';
 import {StateError} from '../state/errors.js';
 import {type SteadyClock} from '../clock.js';
 import {createLogger} from '../log.js';
 import {
-	answerMs, carriedStepMs, doubtAnswerMs, mostAnswerMs, pauseAfter,
-} from './follow-limits.js';
+	answerTimeoutMs, reportCheckIntervalMs, immediateAnswerTimeoutMs, maxImmediateAnswerTimeoutMs, retryDelayMs,
+} from './topic-read-limits.js';
 import {RecentRecords} from './recent-records.js';
 
 const log = createLogger('store');
@@ -42,18 +42,18 @@
 	store: Store;
 	topic: Topic;
 	sink: RecordSink;
-	belief: Belief;
+	viewAge: ViewAge;
 	clock: SteadyClock;
 	/** How long one read waits for records, in milliseconds; bounds the view's age while all reads are answered. */
 	waitMs: () => number;
 	/** Total size of records beyond which one read adds no further record, in bytes. */
-	mostBytes: number;
+	maxBytes: number;
 	/** Whether only the newest record of each key matters, so that a view that falls behind may skip intermediate records. */
-	isNewestEnough: boolean;
+	canSkipToNewest: boolean;
 	/** Pause after a read that returned records, in milliseconds, so that a series of changes needs few reads. */
-	gatherMs: number;
+	batchDelayMs: number;
 	/** Age of the relays' latest confirmation up to which this daemon does not read the store, in milliseconds; 0 for a daemon that always reads, such as a relay. */
-	carriedMs: () => number;
+	maxRelayAgeMs: () => number;
 };
 
 /** How current a view is, and what confirms it. */
@@ -70,7 +70,7 @@
 /** Follows one topic. */
 export class TopicFollower {
 	/** Whether this daemon's own reads are failing. */
-	isLost = false;
+	isReadFailing = false;
 	private next: number | undefined;
 	/** When the topic was first read, or read again after failures. */
 	private followedSinceMs: number | undefined;
@@ -95,13 +95,13 @@
 
 	/** Returns how long the topic has been followed without interruption, in milliseconds; 0 while reads are failing. */
 	followedForMs(nowMs: number): number {
-		return this.isLost || this.followedSinceMs === undefined ? 0 : nowMs - this.followedSinceMs;
+		return this.isReadFailing || this.followedSinceMs === undefined ? 0 : nowMs - this.followedSinceMs;
 	}
 
 	/** Returns how current the view is and what confirms it, for state dumps and metrics. */
 	stateAt(nowMs: number): ViewState {
 		return {
-			ageMs: Math.round(this.options.belief.ageMs(nowMs)), next: this.next, isCarried: this.isRelayConfirmed, reads: {...this.reads},
+			ageMs: Math.round(this.options.viewAge.ageMs(nowMs)), next: this.next, isCarried: this.isRelayConfirmed, reads: {...this.reads},
 		};
 	}
 
@@ -113,7 +113,7 @@
 			if (isRelayConfirmed) {
 				this.shouldReadImmediately = true;
 				// eslint-disable-next-line no-await-in-loop -- the steps run one after the other.
-				await delay(carriedStepMs, undefined, {signal}).catch(() => undefined);
+				await delay(reportCheckIntervalMs, undefined, {signal}).catch(() => undefined);
 				continue;
 			}
 
@@ -121,9 +121,9 @@
 				// eslint-disable-next-line no-await-in-loop
 				const hasRecords = await this.read(signal);
 				this.handleAnswer();
-				if (hasRecords && this.options.gatherMs > 0) {
+				if (hasRecords && this.options.batchDelayMs > 0) {
 					// eslint-disable-next-line no-await-in-loop
-					await delay(this.options.gatherMs, undefined, {signal}).catch(() => undefined);
+					await delay(this.options.batchDelayMs, undefined, {signal}).catch(() => undefined);
 				}
 			} catch (error) {
 				if (signal.aborted) {
@@ -132,14 +132,14 @@
 
 				this.handleFailure(error);
 				// eslint-disable-next-line no-await-in-loop
-				await delay(pauseAfter(this.consecutiveFailures, Math.random()), undefined, {signal}).catch(() => undefined);
+				await delay(retryDelayMs(this.consecutiveFailures, Math.random()), undefined, {signal}).catch(() => undefined);
 			}
 		}
 	}
 
 	/** Returns what this daemon reports to a daemon whose view reaches up to an offset; undefined before the first read. */
-	newsFor(offset: number | undefined, nowMs: number): TopicNews | undefined {
-		return this.next === undefined ? undefined : {next: this.next, ageMs: Math.ceil(this.options.belief.ageMs(nowMs)), records: this.recentRecords.startingAt(offset)};
+	createUpdateFor(offset: number | undefined, nowMs: number): TopicUpdate | undefined {
+		return this.next === undefined ? undefined : {next: this.next, ageMs: Math.ceil(this.options.viewAge.ageMs(nowMs)), records: this.recentRecords.startingAt(offset)};
 	}
 
 	/**
@@ -147,7 +147,7 @@
 	 *
 	 * @param requestedAtMs When the request to the relay was sent; the relay evaluated its view after that.
 	 */
-	hear(update: TopicNews, requestedAtMs: number, nowMs: number): void {
+	applyRelayUpdate(update: TopicUpdate, requestedAtMs: number, nowMs: number): void {
 		if (this.next === undefined) {
 			return;
 		}
@@ -167,17 +167,17 @@
 
 		const confirmedAtMs = requestedAtMs - update.ageMs;
 		this.relayConfirmedAtMs = Math.max(this.relayConfirmedAtMs, confirmedAtMs);
-		this.options.belief.confirm(confirmedAtMs);
+		this.options.viewAge.confirm(confirmedAtMs);
 	}
 
 	private get isRelayConfirmed(): boolean {
-		const maxRelayAgeMs = this.options.carriedMs();
+		const maxRelayAgeMs = this.options.maxRelayAgeMs();
 		return maxRelayAgeMs > 0 && !this.isMissingRecords && this.options.clock.now() - this.relayConfirmedAtMs <= maxRelayAgeMs;
 	}
 
 	/** Makes one read; returns whether it brought any records and reached the end of the topic. */
 	private async read(signal: AbortSignal): Promise<boolean> {
-		const {topic, belief: viewAge, clock, isNewestEnough: canSkipToNewest} = this.options;
+		const {topic, viewAge, clock, canSkipToNewest} = this.options;
 		const sentAtMs = clock.now();
 		this.isMissingRecords = false;
 		const batch = this.next === undefined ? undefined : await this.readFrom(this.next, signal);
@@ -207,15 +207,15 @@
 
 	/** Reads records from an offset on, and waits for them unless the view's age is uncertain. */
 	private async readFrom(next: number, signal: AbortSignal): Promise<RecordBatch | undefined> {
-		const {store, topic, waitMs, mostBytes: maxBytes} = this.options;
-		const limits = this.shouldReadImmediately ? {waitMs: 0, answerMs: this.answerTimeoutMs} : {waitMs: waitMs(), answerMs};
-		return store.read(topic, next, {...limits, mostBytes: maxBytes}, signal);
+		const {store, topic, waitMs, maxBytes} = this.options;
+		const limits = this.shouldReadImmediately ? {waitMs: 0, answerMs: this.answerTimeoutMs} : {waitMs: waitMs(), answerMs: answerTimeoutMs};
+		return store.read(topic, next, {...limits, maxBytes}, signal);
 	}
 
 	private async readNewest(signal: AbortSignal): Promise<void> {
-		const {store, topic, sink, belief: viewAge, clock} = this.options;
+		const {store, topic, sink, viewAge, clock} = this.options;
 		const sentAtMs = clock.now();
-		const newest = await store.newest(topic, this.answerTimeoutMs, signal);
+		const newest = await store.readNewest(topic, this.answerTimeoutMs, signal);
 		if (newest.next < (this.next ?? 0)) {
 			throw new StateError(`the store's newest records of ${topic} end at ${newest.next}, before ${this.next}`);
 		}
@@ -228,7 +228,7 @@
 
 	/** Time allowed for an answer beyond the wait, in milliseconds; longer after failures, since a heavily loaded store answers late. */
 	private get answerTimeoutMs(): number {
-		return this.consecutiveFailures < 2 ? doubtAnswerMs : mostAnswerMs;
+		return this.consecutiveFailures < 2 ? immediateAnswerTimeoutMs : maxImmediateAnswerTimeoutMs;
 	}
 
 	private applyRecord(record: KeyedRecord, nowMs: number): void {
@@ -243,7 +243,7 @@
 			return;
 		}
 
-		const {topic, belief: viewAge, clock} = this.options;
+		const {topic, viewAge, clock} = this.options;
 		if (isRelayConfirmed || this.wasRelayConfirmed !== undefined) {
 			log.info(isRelayConfirmed ? 'relays confirm the view, not reading the store.' : 'relay confirmation too old, reading the store.', {
 				topic, next: this.next, viewAgeMs: Math.round(viewAge.ageMs(clock.now())),
@@ -259,8 +259,8 @@
 		this.consecutiveFailures = 0;
 		this.shouldReadImmediately = false;
 		this.followedSinceMs ??= this.options.clock.now();
-		if (this.isLost) {
-			this.isLost = false;
+		if (this.isReadFailing) {
+			this.isReadFailing = false;
 			this.followedSinceMs = this.options.clock.now();
 			log.info('store answers again.', {topic: this.options.topic, next: this.next});
 		}
@@ -270,9 +270,9 @@
 		this.reads.failed++;
 		this.consecutiveFailures++;
 		this.shouldReadImmediately = true;
-		if (!this.isLost) {
-			this.isLost = true;
-			const {topic, belief: viewAge, clock} = this.options;
+		if (!this.isReadFailing) {
+			this.isReadFailing = true;
+			const {topic, viewAge, clock} = this.options;
 			log.warn('store read failed.', {
 				topic, error: String(error), cause: error instanceof Error ? String(error.cause) : '', viewAgeMs: Math.round(viewAge.ageMs(clock.now())),
 			});
--- a/src/coordination/usage-ledger.ts
+++ b/src/coordination/usage-ledger.ts
@@ -51,22 +51,22 @@
 	}
 
 	/** Merges the counts that another daemon reported; its counts of a window only grow. */
-	note(failureDomain: string, incarnation: string, window: number, counts: WindowCounts): void {
+	mergeDaemonCounts(failureDomain: string, incarnation: string, window: number, counts: WindowCounts): void {
 		raiseTo(countsOf(this.daemonWindows(failureDomain, incarnation), window), counts);
 	}
 
 	/** Merges the sums that a relay reported of its failure domain. */
-	noteDomain(failureDomain: string, window: number, counts: WindowCounts): void {
+	mergeDomainCounts(failureDomain: string, window: number, counts: WindowCounts): void {
 		raiseTo(countsOf(this.usageOf(failureDomain).relayed, window), counts);
 	}
 
 	/** Merges the sums that a relay reported of all daemons but this one. */
-	noteRest(window: number, counts: WindowCounts): void {
+	mergeOtherCounts(window: number, counts: WindowCounts): void {
 		raiseTo(countsOf(this.relayedOthers, window), counts);
 	}
 
 	/** Returns the sums of the latest windows over all daemons but one. */
-	restOf(failureDomain: string, incarnation: string): Array<[number, WindowCounts]> {
+	countsExcept(failureDomain: string, incarnation: string): Array<[number, WindowCounts]> {
 		const known = [...this.domains.values()].flatMap(usage => [...usage.daemons.values(), usage.relayed]).flatMap(windows => [...windows.keys()]);
 		const windows = [...new Set(known)].toSorted((a, b) => a - b).slice(-sharedWindows);
 		return windows.map(window => {
@@ -77,12 +77,12 @@
 	}
 
 	/** Returns this daemon's counts of its latest windows. */
-	own(): Array<[number, WindowCounts]> {
+	ownCounts(): Array<[number, WindowCounts]> {
 		return latestWindows(this.ownWindows());
 	}
 
 	/** Returns the sums of a failure domain's latest windows. */
-	domain(failureDomain: string): Array<[number, WindowCounts]> {
+	domainCounts(failureDomain: string): Array<[number, WindowCounts]> {
 		const usage = this.usageOf(failureDomain);
 		const windows = new Set([...usage.daemons.values(), usage.relayed].flatMap(counts => [...counts.keys()]));
 		return latestWindows(new Map([...windows].toSorted((a, b) => a - b).map(window => [window, domainTotal(usage, window)])));
--- a/src/coordination/vm-watch.ts
+++ b/src/coordination/vm-watch.ts
@@ -25,7 +25,7 @@
 			method: 'GET', url: `${target.url}/notices?from=${from}`, timeoutMs: 2000, signal,
 		});
 		for (const notice of page.notices) {
-			directory.noteLeaving(notice.vm, LeavingSource.Notice, notice.leavesAtMs, Date.now());
+			directory.markLeaving(notice.vm, LeavingSource.Notice, notice.leavesAtMs, Date.now());
 		}
 
 		from = page.next;
--- a/src/gate.ts
+++ b/src/latch.ts
@@ -1,7 +1,7 @@
 /** A one-shot latch: tasks wait until it is opened once and for all. */
 
 /** A latch that starts closed and stays open once opened. */
-export class Gate {
+export class Latch {
 	private isOpen = false;
 	private readonly waiters = new Set<() => void>();
 
--- a/src/protocol/__tests__/settings.test.ts
+++ b/src/protocol/__tests__/settings.test.ts
@@ -4,7 +4,7 @@
 import {tmpdir} from 'node:os';
 import path from 'node:path';
 import {describe, expect, it} from 'vitest';
-import {standinValidators} from '../../standins/options.js';
+import {standinValidators} from '../../standins/settings.js';
 import {loadSettings} from '../settings.js';
 import {SettingsError} from '../errors.js';
 
--- a/src/protocol/fleet-messages.ts
+++ b/src/protocol/fleet-messages.ts
@@ -62,17 +62,17 @@
 };
 
 /** The fencing token of the known duty holder, and how long ago that was confirmed. */
-export type HolderNews = {token: number; ageMs: number};
+export type HolderUpdate = {token: number; ageMs: number};
 
 type MessageHead = {
 	sender: Sender;
-	holder: HolderNews | undefined;
+	holder: HolderUpdate | undefined;
 	/** Cost units that all daemons admitted in the window of the limits, by client account: one sum for each equal part of the window, the newest first. Sent to receivers that lack it, such as ones that have just started; undefined otherwise, and while the sender does not know. */
 	windowUses: Record<string, number[]> | undefined;
 };
 
 /** The sender's view of a topic of the store. */
-export type TopicNews = {
+export type TopicUpdate = {
 	/** Offset of the first record that it has not read. */
 	next: number;
 	/** How long ago the view was known to be current, in milliseconds. */
@@ -82,7 +82,7 @@
 };
 
 /** The topics of the store that daemons gossip about. */
-export type ToldTopic = Topic.Config | Topic.Backends;
+export type GossipedTopic = Topic.Config | Topic.Backends;
 
 /** A daemon's report about itself, or a relay's report about its failure domain. */
 export type Report = MessageHead & {
@@ -97,7 +97,7 @@
 	/** Number of the sender's round; the view repeats it. */
 	round: number;
 	/** Offsets of the first records that the sender's views of the store's topics lack. */
-	offsets: Partial<Record<ToldTopic, number>>;
+	offsets: Partial<Record<GossipedTopic, number>>;
 };
 
 /** The name and address of a daemon. */
@@ -112,11 +112,11 @@
 	relays: NamedAddress[];
 	/** Number of the round of the report that it answers. */
 	round: number;
-	topics: Partial<Record<ToldTopic, TopicNews>>;
+	topics: Partial<Record<GossipedTopic, TopicUpdate>>;
 };
 
 /** State of a request that backend servers were running when they ended. */
-export type SuspectNews = {
+export type SuspectUpdate = {
 	fingerprint: number;
 	/** Keys of the backend servers that ended while they ran it, and how long ago, in milliseconds. */
 	crashes: Array<[backend: number, ageMs: number]>;
@@ -125,10 +125,10 @@
 };
 
 /** The requests that a daemon suspects of crashing backend servers. */
-export type SuspectList = {kind: FleetMessageKind.Suspects; sender: Sender; suspects: SuspectNews[]};
+export type SuspectList = {kind: FleetMessageKind.Suspects; sender: Sender; suspects: SuspectUpdate[]};
 
 /** The limit that a backend server states. */
-export type LimitNews = {
+export type LimitUpdate = {
 	/** Key of the backend server. */
 	backend: number;
 	/** Requests per second from all daemons together; undefined once it no longer states a limit. */
@@ -138,7 +138,7 @@
 };
 
 /** The limits that backend servers state. */
-export type LimitList = {kind: FleetMessageKind.Limits; sender: Sender; limits: LimitNews[]};
+export type LimitList = {kind: FleetMessageKind.Limits; sender: Sender; limits: LimitUpdate[]};
 
 /** Any message between serving daemons. */
 export type FleetMessage = Report | View | SuspectList | LimitList;
@@ -151,17 +151,17 @@
 	}
 
 	return kind === FleetMessageKind.Report || kind === FleetMessageKind.View
-		|| (kind === FleetMessageKind.Suspects && isSuspectNews(suspects)) || (kind === FleetMessageKind.Limits && isLimitUpdates(limits));
+		|| (kind === FleetMessageKind.Suspects && isSuspectUpdates(suspects)) || (kind === FleetMessageKind.Limits && isLimitUpdates(limits));
 }
 
-function isLimitUpdates(value: unknown): value is LimitNews[] {
-	return Array.isArray(value) && (value as Array<Partial<LimitNews> | undefined>).every(update => Number.isSafeInteger(update?.backend)
+function isLimitUpdates(value: unknown): value is LimitUpdate[] {
+	return Array.isArray(value) && (value as Array<Partial<LimitUpdate> | undefined>).every(update => Number.isSafeInteger(update?.backend)
 		&& isNonNegative(update!.ageMs) && (update!.perSecond === undefined || isNonNegative(update!.perSecond)));
 }
 
 /** Whether a value is a list of the states of suspected requests. */
-export function isSuspectNews(value: unknown): value is SuspectNews[] {
-	return Array.isArray(value) && (value as Array<Partial<SuspectNews> | undefined>).every(update => Number.isSafeInteger(update?.fingerprint)
+export function isSuspectUpdates(value: unknown): value is SuspectUpdate[] {
+	return Array.isArray(value) && (value as Array<Partial<SuspectUpdate> | undefined>).every(update => Number.isSafeInteger(update?.fingerprint)
 		&& Array.isArray(update!.crashes) && update!.crashes.every(([backend, ageMs]) => Number.isSafeInteger(backend) && isNonNegative(ageMs))
 		&& (update!.clearedAgeMs === undefined || isNonNegative(update!.clearedAgeMs)));
 }
--- a/src/protocol/openai.ts
+++ b/src/protocol/openai.ts
@@ -38,7 +38,7 @@
 };
 
 /** Builds an OpenAI-style error body. */
-export function errorBody(message: string, type: string, code: string, outcome?: Outcome): ErrorBody {
+export function createErrorBody(message: string, type: string, code: string, outcome?: Outcome): ErrorBody {
 	return {
 		error: {
 			message, type, code, param: null, outcome,
@@ -80,6 +80,6 @@
 }, 'completion request');
 
 /** Renders chat messages as a prompt for an engine. */
-export function chatPrompt(messages: ChatMessage[]): string {
+export function renderChatPrompt(messages: ChatMessage[]): string {
 	return messages.map(message => `${message.role}: ${message.content}`).join('\n');
 }
--- a/src/protocol/platform.ts
+++ b/src/protocol/platform.ts
@@ -4,7 +4,7 @@
  * decisions are made by the daemon.
  */
 import {
-	type AnswerMarks, type AttemptHeaders, type Backend, type CallerRequest, type ServingConfig,
+	type AnswerMetadata, type AttemptHeaders, type Backend, type CallerRequest, type ServingConfig,
 } from './serving.js';
 import {type Listen} from './settings.js';
 
@@ -71,7 +71,7 @@
 	/** How long after `waitMs` the read may go without receiving a byte of the answer before it fails, in milliseconds. */
 	answerMs: number;
 	/** Total size of the records, in bytes, from which on no further record is added to the answer. */
-	mostBytes: number;
+	maxBytes: number;
 };
 
 /** The topics that the daemon reads and writes. */
@@ -100,7 +100,7 @@
 	 * @param answerMs How long the read may go without receiving a byte of the answer before it fails, in milliseconds.
 	 * @throws {StateError} When the store cannot be read.
 	 */
-	newest(topic: Topic, answerMs: number, signal: AbortSignal): Promise<RecordBatch>;
+	readNewest(topic: Topic, answerMs: number, signal: AbortSignal): Promise<RecordBatch>;
 	/**
 	 * Reads records from an offset on, as soon as there are any; the batch is empty if none
 	 * arrive during the wait. Records beyond the size limit, which may include the first one,
@@ -152,7 +152,7 @@
 	readRequest(method: string, path: string, rawHeaders: string[]): CallerRequest | undefined;
 	/** Returns the headers of an attempt at one backend server, as alternating names and values. */
 	backendHeaders(request: CallerRequest, attempt: AttemptHeaders): string[];
-	readAnswer(headers: NodeJS.Dict<string | string[]>): AnswerMarks;
+	readAnswer(headers: NodeJS.Dict<string | string[]>): AnswerMetadata;
 };
 
 /** A run whose KV cache was copied to another engine. */
@@ -174,7 +174,7 @@
 export type MoveAnswer = {result: MoveResult; run?: MovedRun};
 
 /** Sends orders to model engines. */
-export type Engines = {
+export type EngineClient = {
 	/** Copies the KV cache of a running request to another engine, which reserves room for the run; the run continues. */
 	copy(requestId: string, source: Backend, target: Backend, signal: AbortSignal): Promise<MoveAnswer>;
 	/** Stops a run and copies the part of its KV cache that was not yet copied; the run is stopped even if the target then refuses. */
@@ -184,7 +184,7 @@
 };
 
 /** Decodes the records of the operators and the platform. */
-export type Records = {
+export type RecordDecoder = {
 	/**
 	 * Decodes a configuration.
 	 *
@@ -207,8 +207,8 @@
 	store: Store;
 	cloud: Cloud;
 	dialect: Dialect;
-	engines: Engines;
-	records: Records;
+	engines: EngineClient;
+	records: RecordDecoder;
 	/**
 	 * Reads the settings again.
 	 *
--- a/src/protocol/serving.ts
+++ b/src/protocol/serving.ts
@@ -79,7 +79,7 @@
 	/** Whether a request's cost is its number of tokens rather than 1. */
 	countsTokens: boolean;
 	/** Cost of a request that states no token counts, if `countsTokens` is set. */
-	plainTokens: number;
+	defaultTokenCost: number;
 };
 
 /** The limits on the size of clients' requests, and on the time to receive their headers and to stay idle. */
@@ -166,10 +166,10 @@
 };
 
 /** The load that a backend server reports in its answer. */
-export type StatedLoad = {running: number; waiting: number; slots: number};
+export type ReportedLoad = {running: number; waiting: number; slots: number};
 
 /** What the headers of a backend server's answer state. */
-export type AnswerMarks = {
+export type AnswerMetadata = {
 	requestId: string | undefined;
 	/** Whether the answer carries the seal by which a backend server marks its own answers. */
 	isSealed: boolean;
@@ -177,7 +177,7 @@
 	isNotRun: boolean;
 	/** Whether the body has a content encoding; backend servers never use one. */
 	isEncoded: boolean;
-	load: StatedLoad | undefined;
+	load: ReportedLoad | undefined;
 	/** The number of requests per second that the backend server accepts from all daemons together; undefined if it states no limit. */
 	limitPerSecond: number | undefined;
 };
--- a/src/protocol/tokens.ts
+++ b/src/protocol/tokens.ts
@@ -4,6 +4,6 @@
  */
 
 /** Splits a prompt into words, each of which counts as one token. */
-export function promptTokens(prompt: string): string[] {
+export function tokenizePrompt(prompt: string): string[] {
 	return prompt.split(/\s+/v).filter(word => word.length > 0);
 }
--- a/src/standins/cloud.ts
+++ b/src/standins/cloud.ts
@@ -12,11 +12,11 @@
 	type NoticePage, type ReclaimNotice, type VmEntry, type VmOrder, VmState,
 } from '../protocol/cloud-api.js';
 import {requestJson} from '../transport/http-client.js';
-import {createObservedServer, startServer} from '../transport/http-server.js';
-import {createRegistry} from '../transport/process-registry.js';
+import {createServerWithDiagnostics, startServer} from '../transport/http-server.js';
+import {createMetricsRegistry} from '../transport/metrics-registry.js';
 import {createLogger} from '../log.js';
 import {waitForAbort} from '../abort.js';
-import {type CloudStandinSettings} from './options.js';
+import {type CloudStandinSettings} from './settings.js';
 import {addFaultRoutes, delayAnswer} from './faults.js';
 
 const log = createLogger('standin-cloud');
@@ -161,7 +161,7 @@
 export async function runCloudStandin(settings: CloudStandinSettings, signal: AbortSignal): Promise<void> {
 	const cloud = new Cloud(settings, signal);
 	const {faults, notices, vms} = cloud;
-	const server = createObservedServer(settings.listen, createRegistry(), () => ({faults, notices, vms: [...vms.values()]}));
+	const server = createServerWithDiagnostics(settings.listen, createMetricsRegistry(), () => ({faults, notices, vms: [...vms.values()]}));
 	addFaultRoutes(server, faults);
 	server.ext('onPreHandler', async (request, h) => {
 		if (request.path.startsWith('/admin/') || request.path.startsWith('/debug/')) {
--- a/src/standins/engine-batch.ts
+++ b/src/standins/engine-batch.ts
@@ -6,7 +6,7 @@
  */
 import {createHash} from 'node:crypto';
 import {type EngineChunk, type EngineCompletionRequest, type KvSnapshot} from '../protocol/engine-api.js';
-import {promptTokens} from '../protocol/tokens.js';
+import {tokenizePrompt} from '../protocol/tokens.js';
 import {generateToken} from './engine-output.js';
 
 /** Options of the scheduler. */
@@ -251,7 +251,7 @@
 		this.waiting.sort((a, b) => a.priority - b.priority || a.arrivalIndex - b.arrivalIndex);
 		while (this.running.size < this.options.maxBatch && this.waiting.length > 0) {
 			const sequence = this.waiting.shift()!;
-			const tokens = promptTokens(sequence.request.prompt);
+			const tokens = tokenizePrompt(sequence.request.prompt);
 			const hitBlocks = this.cache.matchAndInsert(hashBlocks(tokens, this.options.blockTokens));
 			sequence.cachedTokens = hitBlocks * this.options.blockTokens;
 			const totalTokens = tokens.length + sequence.nextIndex;
@@ -267,7 +267,7 @@
 	}
 
 	private holdKv(sequence: Sequence, nowMs: number): KvSnapshot {
-		const computedTokens = sequence.hasStarted ? promptTokens(sequence.request.prompt).length + sequence.nextIndex - sequence.remainingPrefillTokens : 0;
+		const computedTokens = sequence.hasStarted ? tokenizePrompt(sequence.request.prompt).length + sequence.nextIndex - sequence.remainingPrefillTokens : 0;
 		const snapshot = {requestId: sequence.id, promptHash: hashPrompt(sequence.request.prompt), tokens: computedTokens};
 		this.heldKvById.set(sequence.id, {...snapshot, untilMs: nowMs + this.options.kvHoldMs});
 		return snapshot;
--- a/src/standins/engine-output.ts
+++ b/src/standins/engine-output.ts
@@ -45,7 +45,7 @@
 }
 
 /** Returns the whole answer of `maxTokens` tokens to `prompt`. */
-export function completionText(prompt: string, maxTokens: number): string {
+export function generateCompletionText(prompt: string, maxTokens: number): string {
 	let text = '';
 	for (let index = 0; index < maxTokens; index++) {
 		text += generateToken(prompt, index);
--- a/src/standins/engine.ts
+++ b/src/standins/engine.ts
@@ -16,12 +16,12 @@
 	EngineRole, OrderKind, notRunCode,
 } from '../protocol/engine-api.js';
 import {fetchJson} from '../transport/http-client.js';
-import {createObservedServer, startServer} from '../transport/http-server.js';
-import {createRegistry} from '../transport/process-registry.js';
+import {createServerWithDiagnostics, startServer} from '../transport/http-server.js';
+import {createMetricsRegistry} from '../transport/metrics-registry.js';
 import {createLogger} from '../log.js';
 import {waitForAbort} from '../abort.js';
-import {promptTokens} from '../protocol/tokens.js';
-import {type EngineStandinSettings} from './options.js';
+import {tokenizePrompt} from '../protocol/tokens.js';
+import {type EngineStandinSettings} from './settings.js';
 import {addFaultRoutes} from './faults.js';
 import {BatchScheduler, type Sequence, SequenceEnd} from './engine-batch.js';
 import {ChunkScrambler, type ScrambleMode} from './chunk-scrambler.js';
@@ -70,7 +70,7 @@
 		this.isPowered = settings.powered;
 		this.scheduler = new BatchScheduler(settings);
 		this.reportedLoad = this.measureLoad();
-		const registry = createRegistry();
+		const registry = createMetricsRegistry();
 		const addGauge = (name: string, help: string, read: () => number) => new Gauge({
 			name, help, registers: [registry], collect() {
 				this.set(read());
@@ -78,7 +78,7 @@
 		});
 		addGauge('engine_output_tokens', 'Output tokens generated.', () => this.scheduler.outputTokens);
 		addGauge('engine_prefill_tokens', 'Prompt tokens computed, not taken from a cache.', () => this.scheduler.prefillTokens);
-		this.server = createObservedServer(settings.listen, registry, () => this.dumpState());
+		this.server = createServerWithDiagnostics(settings.listen, registry, () => this.dumpState());
 		addFaultRoutes(this.server, this.faults);
 		this.addRoutes();
 	}
@@ -261,7 +261,7 @@
 					text += chunk.choices[0].text;
 				},
 				onEnd() {
-					const promptTokenCount = promptTokens(body.prompt).length;
+					const promptTokenCount = tokenizePrompt(body.prompt).length;
 					const completionTokenCount = body.max_tokens - (body.resume_from ?? 0);
 					resolve({
 						id,
--- a/src/standins/log.ts
+++ b/src/standins/platform-log.ts
@@ -8,12 +8,12 @@
 	type AppendRequest, type LogFaults, type LogRecord, type ReadAnswer,
 } from '../protocol/platform-log.js';
 import {
-	createObservedServer, headerValue, startServer,
+	createServerWithDiagnostics, headerValue, startServer,
 } from '../transport/http-server.js';
-import {createRegistry} from '../transport/process-registry.js';
+import {createMetricsRegistry} from '../transport/metrics-registry.js';
 import {createLogger} from '../log.js';
 import {waitForAbort} from '../abort.js';
-import {type LogStandinSettings} from './options.js';
+import {type LogStandinSettings} from './settings.js';
 import {addFaultRoutes, delayAnswer} from './faults.js';
 
 const log = createLogger('standin-log');
@@ -115,8 +115,8 @@
 		return stream;
 	};
 
-	const registry = createRegistry();
-	const server = createObservedServer(settings.listen, registry, () => ({
+	const registry = createMetricsRegistry();
+	const server = createServerWithDiagnostics(settings.listen, registry, () => ({
 		faults,
 		appends,
 		refusedAppends,
--- a/src/standins/service.ts
+++ b/src/standins/service.ts
@@ -8,12 +8,12 @@
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	createObservedServer, headerValue, startServer,
+	createServerWithDiagnostics, headerValue, startServer,
 } from '../transport/http-server.js';
-import {createRegistry} from '../transport/process-registry.js';
+import {createMetricsRegistry} from '../transport/metrics-registry.js';
 import {createLogger} from '../log.js';
 import {waitForAbort} from '../abort.js';
-import {type ServiceStandinSettings} from './options.js';
+import {type ServiceStandinSettings} from './settings.js';
 import {addFaultRoutes} from './faults.js';
 
 const log = createLogger('standin-service');
@@ -34,7 +34,7 @@
 export async function runServiceStandin(settings: ServiceStandinSettings, signal: AbortSignal): Promise<void> {
 	const executions = new Map<string, number>();
 	const faults: ServiceFaults = {};
-	const server = createObservedServer(settings.listen, createRegistry(), () => ({id: settings.id, executions: Object.fromEntries(executions), faults}));
+	const server = createServerWithDiagnostics(settings.listen, createMetricsRegistry(), () => ({id: settings.id, executions: Object.fromEntries(executions), faults}));
 	addFaultRoutes(server, faults);
 	server.route({
 		method: 'POST',
--- a/src/standins/vm-list.ts
+++ b/src/standins/vm-list.ts
@@ -5,10 +5,10 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {type VmEntry} from '../protocol/cloud-api.js';
 import {fetchJson} from '../transport/http-client.js';
-import {createObservedServer, startServer} from '../transport/http-server.js';
-import {createRegistry} from '../transport/process-registry.js';
+import {createServerWithDiagnostics, startServer} from '../transport/http-server.js';
+import {createMetricsRegistry} from '../transport/metrics-registry.js';
 import {createLogger} from '../log.js';
-import {type VmListStandinSettings} from './options.js';
+import {type VmListStandinSettings} from './settings.js';
 import {addFaultRoutes} from './faults.js';
 
 const log = createLogger('standin-vms');
@@ -22,7 +22,7 @@
 export async function runVmListStandin(settings: VmListStandinSettings, signal: AbortSignal): Promise<void> {
 	const faults: {outage?: boolean} = {};
 	let snapshots: Array<{atMs: number; vms: VmEntry[]}> = [];
-	const server = createObservedServer(settings.listen, createRegistry(), () => ({faults, snapshots: snapshots.length}));
+	const server = createServerWithDiagnostics(settings.listen, createMetricsRegistry(), () => ({faults, snapshots: snapshots.length}));
 	addFaultRoutes(server, faults);
 	server.route({
 		method: 'GET',
--- a/src/standins/weights.ts
+++ b/src/standins/weight-store.ts
@@ -2,11 +2,11 @@
  * Stand-in for the rate-limited weight store: `GET /weights/{model}` answers 429 when there
  * are more than `downloadsPerSecond` downloads in a second.
  */
-import {createObservedServer, startServer} from '../transport/http-server.js';
-import {createRegistry} from '../transport/process-registry.js';
+import {createServerWithDiagnostics, startServer} from '../transport/http-server.js';
+import {createMetricsRegistry} from '../transport/metrics-registry.js';
 import {createLogger} from '../log.js';
 import {waitForAbort} from '../abort.js';
-import {type WeightsStandinSettings} from './options.js';
+import {type WeightsStandinSettings} from './settings.js';
 
 const log = createLogger('standin-weights');
 
@@ -20,7 +20,7 @@
 	let downloadsInWindow = 0;
 	let downloads = 0;
 	let refused = 0;
-	const server = createObservedServer(settings.listen, createRegistry(), () => ({downloads, refused}));
+	const server = createServerWithDiagnostics(settings.listen, createMetricsRegistry(), () => ({downloads, refused}));
 	server.route({
 		method: 'GET',
 		path: '/weights/{model}',
--- a/src/state/__tests__/backend-table.test.ts
+++ b/src/state/__tests__/backend-table.test.ts
@@ -17,10 +17,10 @@
 				return table.upsert(backend('a'), 0);
 			}, expected: ['b'],
 		},
-		{name: 'gives a backend server whose entry was removed no new work while there is another', act: (table: BackendTable): unknown => table.vanish('a', 0), expected: ['b']},
+		{name: 'gives a backend server whose entry was removed no new work while there is another', act: (table: BackendTable): unknown => table.markRemoved('a', 0), expected: ['b']},
 		{
 			name: 'gives a backend server no new work when another one answers at its address', act(table: BackendTable): unknown {
-				table.replaced('a', 0);
+				table.markReplaced('a', 0);
 				return undefined;
 			}, expected: ['b'],
 		},
@@ -32,7 +32,7 @@
 		},
 		{
 			name: 'uses a backend server again when its removed entry reappears', act(table: BackendTable): unknown {
-				table.vanish('a', 0);
+				table.markRemoved('a', 0);
 				return table.upsert(backend('a'), 500);
 			}, expected: ['a', 'b'],
 		},
@@ -47,14 +47,14 @@
 	it('expects a backend server whose entry was removed to leave, until its entry reappears', () => {
 		const table = new BackendTable({drainMs});
 		table.upsert(backend('a'), 0);
-		expect(table.vanish('a', 100)?.leavesAtMs).toBe(100 + drainMs);
+		expect(table.markRemoved('a', 100)?.leavesAtMs).toBe(100 + drainMs);
 		expect(table.upsert(backend('a'), 500).entry.leavesAtMs).toBeUndefined();
 	});
 
 	it('uses a backend server whose entry was removed for a short time if there is no other, but for less than the drain time', () => {
 		const table = new BackendTable({drainMs});
 		table.upsert(backend('a'), 0);
-		table.vanish('a', 1000);
+		table.markRemoved('a', 1000);
 		expect(usable(table, 1700)).toEqual(['a']);
 		expect(usable(table, 1000 + drainMs)).toEqual([]);
 	});
@@ -86,7 +86,7 @@
 		{
 			name: 'is usable after the entry of its previous start was removed', act(table: BackendTable) {
 				table.upsert(started(1), 0);
-				table.vanish('a', 100);
+				table.markRemoved('a', 100);
 				table.upsert(started(2), 200);
 			}, expected: ['a@2'],
 		},
@@ -100,14 +100,14 @@
 			name: 'gets no new work while its entry is unreadable and there is another backend server', act(table: BackendTable) {
 				table.upsert(started(1), 0);
 				table.upsert(backend('b'), 0);
-				table.withhold('a', 100);
+				table.markUnreadable('a', 100);
 			}, expected: ['b'],
 		},
 		{
 			name: 'gets new work again once its entry is readable', act(table: BackendTable) {
 				table.upsert(started(1), 0);
 				table.upsert(backend('b'), 0);
-				table.withhold('a', 100);
+				table.markUnreadable('a', 100);
 				table.upsert(started(1), 200);
 			}, expected: ['a@1', 'b'],
 		},
@@ -128,7 +128,7 @@
 	it('is not expected to leave when its entry is unreadable', () => {
 		const table = new BackendTable({drainMs});
 		table.upsert(started(1), 0);
-		table.withhold('a', 100);
+		table.markUnreadable('a', 100);
 		expect(table.get('a@1')?.leavesAtMs).toBeUndefined();
 	});
 });
--- a/src/state/__tests__/journal-table.test.ts
+++ b/src/state/__tests__/journal-table.test.ts
@@ -25,6 +25,6 @@
 			table.apply({offset, appendedAtMs, value});
 		}
 
-		expect(table.firstFor('a', 'k')?.id).toBe(first);
+		expect(table.firstIntentFor('a', 'k')?.id).toBe(first);
 	});
 });
--- a/src/state/__tests__/route-table.test.ts
+++ b/src/state/__tests__/route-table.test.ts
@@ -14,7 +14,7 @@
 		headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1,
 	},
 	accounts: [{
-		name: 'a', apiKeys: keys, priority: undefined, ratePerSecond: undefined, burst: 0, countsTokens: false, plainTokens: 1,
+		name: 'a', apiKeys: keys, priority: undefined, ratePerSecond: undefined, burst: 0, countsTokens: false, defaultTokenCost: 1,
 	}],
 });
 
--- a/src/state/backend-table.ts
+++ b/src/state/backend-table.ts
@@ -30,7 +30,7 @@
 export type UpsertResult = {
 	entry: BackendEntry;
 	/** Whether this update was the first to say that it is leaving. */
-	beganToLeave: boolean;
+	hasStartedLeaving: boolean;
 	/** Whether this start was not known before. */
 	isNew: boolean;
 };
@@ -50,7 +50,7 @@
 	upsert(backend: Backend, nowMs: number): UpsertResult {
 		const latest = this.latestByName.get(backend.name);
 		if (latest && startTime(backend) < startTime(latest.backend)) {
-			return {entry: latest, beganToLeave: false, isNew: false};
+			return {entry: latest, hasStartedLeaving: false, isNew: false};
 		}
 
 		const isNew = latest?.backend.id !== backend.id;
@@ -66,11 +66,11 @@
 			entry.leavesAtMs = nowMs + (backend.leavesInMs ?? this.bounds.drainMs);
 		}
 
-		return {entry, beganToLeave, isNew};
+		return {entry, hasStartedLeaving: beganToLeave, isNew};
 	}
 
 	/** Records that the entry of a name was removed from the platform's list. */
-	vanish(name: string, nowMs: number): BackendEntry | undefined {
+	markRemoved(name: string, nowMs: number): BackendEntry | undefined {
 		const entry = this.latestByName.get(name);
 		if (entry && entry.vanishedAtMs === undefined) {
 			entry.vanishedAtMs = nowMs;
@@ -82,7 +82,7 @@
 	}
 
 	/** Records that the latest entry of a name cannot be decoded: the backend server gets no new work until a readable entry arrives, but its running work continues, since it is not necessarily leaving. */
-	withhold(name: string, nowMs: number): void {
+	markUnreadable(name: string, nowMs: number): void {
 		const entry = this.latestByName.get(name);
 		if (entry) {
 			entry.vanishedAtMs ??= nowMs;
@@ -90,7 +90,7 @@
 	}
 
 	/** Records that another backend server now answers at the address of this one. */
-	replaced(id: string, nowMs: number): void {
+	markReplaced(id: string, nowMs: number): void {
 		const entry = this.entriesById.get(id);
 		if (entry) {
 			entry.leavingSinceMs ??= nowMs;
@@ -101,7 +101,7 @@
 	retain(names: ReadonlySet<string>, nowMs: number): void {
 		for (const name of this.latestByName.keys()) {
 			if (!names.has(name)) {
-				this.vanish(name, nowMs);
+				this.markRemoved(name, nowMs);
 			}
 		}
 	}
--- a/src/state/journal-table.ts
+++ b/src/state/journal-table.ts
@@ -15,7 +15,7 @@
 export type FirstIntent = {id: string; offset: number; appendedAtMs: number};
 
 /** How long the intents of a key are kept, in milliseconds of the log's clock. */
-export const defaultJournalKeptMs = 900_000;
+export const defaultJournalRetentionMs = 900_000;
 
 /** The first intent of each key, and the offsets of this gateway's own intents. */
 export class JournalTable {
@@ -34,7 +34,7 @@
 	/** @param gateway The gateway whose own intents can be looked up by id. */
 	constructor(
 		private readonly gateway: string,
-		private readonly retentionMs = defaultJournalKeptMs,
+		private readonly retentionMs = defaultJournalRetentionMs,
 	) {}
 
 	/** Applies a record; offsets at or below the last applied one are ignored. */
@@ -63,7 +63,7 @@
 	}
 
 	/** Returns the first intent of a client account's key, if any. */
-	firstFor(account: string, key: string): FirstIntent | undefined {
+	firstIntentFor(account: string, key: string): FirstIntent | undefined {
 		return this.firstIntents.get(JournalTable.digestOf(account, key));
 	}
 
--- a/src/state/lease-table.ts
+++ b/src/state/lease-table.ts
@@ -18,7 +18,7 @@
 	/** Offset of the last record applied; -1 before any. */
 	appliedOffset = -1;
 	/** Offset of the last accepted record; -1 before any. */
-	last = -1;
+	lastAcceptedOffset = -1;
 	/** The current lease, if one was claimed and not released. */
 	lease: Lease | undefined;
 	/**
@@ -35,13 +35,13 @@
 	skipTo(start: number): void {
 		this.firstKeptOffset = start;
 		this.isCertain = false;
-		this.last = -1;
+		this.lastAcceptedOffset = -1;
 		this.tentativeBase = -1;
 		this.lease = undefined;
 	}
 
 	/** Takes the last accepted record as certain although no later record confirms it; to be called when no record has been written for several lease durations. */
-	trust(): void {
+	assumeCertain(): void {
 		this.isCertain = true;
 	}
 
@@ -56,13 +56,13 @@
 		}
 
 		this.appliedOffset = offset;
-		if (record.base !== this.last && !this.mayFollowExpired(record)) {
+		if (record.base !== this.lastAcceptedOffset && !this.mayFollowExpired(record)) {
 			return false;
 		}
 
-		this.isCertain ||= record.base === this.last;
+		this.isCertain ||= record.base === this.lastAcceptedOffset;
 		this.tentativeBase = record.base;
-		this.last = offset;
+		this.lastAcceptedOffset = offset;
 		switch (record.kind) {
 			case LeaseRecordKind.Claim: {
 				this.lease = {holder: record.holder, token: offset};
@@ -86,7 +86,7 @@
 	/** Returns a plain copy for state dumps. */
 	toJson(): Record<string, unknown> {
 		return {
-			appliedOffset: this.appliedOffset, last: this.last, lease: this.lease, isCertain: this.isCertain,
+			appliedOffset: this.appliedOffset, last: this.lastAcceptedOffset, lease: this.lease, isCertain: this.isCertain,
 		};
 	}
 
--- a/src/state/route-table.ts
+++ b/src/state/route-table.ts
@@ -54,7 +54,7 @@
 	}
 
 	/** Whether requests on routes that are not public need an API key. */
-	get needsKeys(): boolean {
+	get requiresApiKeys(): boolean {
 		return (this.config?.accounts.length ?? 0) > 0;
 	}
 
--- a/src/state/belief.ts
+++ b/src/state/view-age.ts
@@ -5,7 +5,7 @@
  */
 
 /** The age of one view, measured on a clock that also advances while the machine is suspended. */
-export class Belief {
+export class ViewAge {
 	private confirmedAtMs: number | undefined;
 
 	/** Whether the view has been read at least once. */
--- a/src/testing/fake-store.ts
+++ b/src/testing/fake-store.ts
@@ -9,13 +9,13 @@
 	/** Whether calls fail without any effect. */
 	isDown = false;
 	/** Whether appends take effect but then throw {@link UnknownAppendError}, as if the answer had been lost. */
-	losesAnswers = false;
+	shouldLoseAnswers = false;
 	/** The maximum number of records that one `read` returns. */
-	mostRecords = Number.POSITIVE_INFINITY;
+	maxRecordsPerRead = Number.POSITIVE_INFINITY;
 	/** The number of reads that were answered. */
-	reads = 0;
+	answeredReads = 0;
 	/** The number of calls that failed because the store was down. */
-	refusals = 0;
+	failedCalls = 0;
 	private readonly topics = new Map<Topic, KeyedRecord[]>();
 	/** The first offset of each compacted topic that `read` still accepts. */
 	private readonly firstOffsets = new Map<Topic, number>();
@@ -42,9 +42,9 @@
 	 *
 	 * @throws {StateError} When the store is down.
 	 */
-	async newest(topic: Topic): Promise<RecordBatch> {
+	async readNewest(topic: Topic): Promise<RecordBatch> {
 		this.throwIfDown();
-		this.reads++;
+		this.answeredReads++;
 		const newest = new Map<string, KeyedRecord>();
 		for (const record of this.getRecords(topic)) {
 			if (record.value) {
@@ -65,7 +65,7 @@
 	 */
 	async read(topic: Topic, from: number): Promise<RecordBatch | undefined> {
 		this.throwIfDown();
-		this.reads++;
+		this.answeredReads++;
 		if (from < (this.firstOffsets.get(topic) ?? 0)) {
 			return undefined;
 		}
@@ -74,7 +74,7 @@
 			setTimeout(resolve, 1);
 		});
 		const end = this.getRecords(topic).length;
-		const records = this.getRecords(topic).slice(from, from + Math.min(this.mostRecords, end));
+		const records = this.getRecords(topic).slice(from, from + Math.min(this.maxRecordsPerRead, end));
 		return {records, next: from + records.length, end};
 	}
 
@@ -92,7 +92,7 @@
 		}
 
 		records.push({...record, offset: records.length});
-		if (this.losesAnswers) {
+		if (this.shouldLoseAnswers) {
 			throw new UnknownAppendError('answer lost');
 		}
 
@@ -101,7 +101,7 @@
 
 	private throwIfDown(): void {
 		if (this.isDown) {
-			this.refusals++;
+			this.failedCalls++;
 			throw new StateError('store is down');
 		}
 	}
--- a/src/testing/stack.ts
+++ b/src/testing/stack.ts
@@ -14,7 +14,7 @@
  *
  * @param overrides Topology fields that replace the defaults.
  */
-export function smallTopology(basePort: number, overrides: Record<string, unknown> = {}): Record<string, unknown> {
+export function buildSmallTopology(basePort: number, overrides: Record<string, unknown> = {}): Record<string, unknown> {
 	return {
 		name: 'test',
 		failureDomains: ['fd-a', 'fd-b'],
@@ -77,7 +77,7 @@
 export type TestStack = Awaited<ReturnType<typeof startTestStack>>;
 
 /** What a caller received of a stream so far. */
-export type ReceivedStream = {status: number; outcome: unknown; requestId: string | undefined; text: string; seqs: number[]; done: boolean};
+export type ReceivedStream = {status: number; outcome: unknown; requestId: string | undefined; text: string; seqs: number[]; isDone: boolean};
 
 /** A caller's streaming request to a gateway; `onToken` is called after each received token. */
 export type CallerStream = {
@@ -101,12 +101,12 @@
 		timeoutMs: 30_000,
 	});
 	const received: ReceivedStream = {
-		status: response.statusCode ?? 0, outcome: response.headers['x-sesametally-outcome'], requestId: response.headers['x-request-id'] as string | undefined, text: '', seqs: [], done: false,
+		status: response.statusCode ?? 0, outcome: response.headers['x-sesametally-outcome'], requestId: response.headers['x-request-id'] as string | undefined, text: '', seqs: [], isDone: false,
 	};
 	try {
 		for await (const data of readEvents(response)) {
 			if (data === '[DONE]') {
-				received.done = true;
+				received.isDone = true;
 				break;
 			}
 
@@ -154,6 +154,6 @@
 }
 
 /** Returns the process id of a stack's process by its name. */
-export function pidOf(stack: TestStack, name: string): number {
+export function findProcessId(stack: TestStack, name: string): number {
 	return stack.running.children.find(child => child.name === name)!.child.pid!;
 }
--- a/src/transport/__tests__/backend-pool.test.ts
+++ b/src/transport/__tests__/backend-connection-pool.test.ts
@@ -6,7 +6,7 @@
 	afterEach, describe, expect, it,
 } from 'vitest';
 import {type Backend, BackendState} from '../../protocol/serving.js';
-import {BackendPool, exchange} from '../backend-pool.js';
+import {BackendConnectionPool, sendBackendRequest} from '../backend-connection-pool.js';
 import {TransportError} from '../errors.js';
 
 const closers: Array<() => void> = [];
@@ -37,9 +37,9 @@
 	};
 }
 
-async function readText(pool: BackendPool, backend: Backend, isRepeatable = true): Promise<string> {
-	const response = await exchange(pool, {
-		backend, method: 'GET', path: '/x', headers: ['Host', 'h'], body: undefined, isRepeatable, connectMs: 500, signal: AbortSignal.timeout(3000),
+async function readText(pool: BackendConnectionPool, backend: Backend, isRepeatable = true): Promise<string> {
+	const response = await sendBackendRequest(pool, {
+		backend, method: 'GET', path: '/x', headers: ['Host', 'h'], body: undefined, isRetryable: isRepeatable, connectTimeoutMs: 500, signal: AbortSignal.timeout(3000),
 	});
 	const body = await response.read(1000);
 	return Buffer.from(body).toString();
@@ -102,7 +102,7 @@
 		},
 	])('$name', async ({script, expected}) => {
 		const backend = await startBackend(script);
-		const pool = new BackendPool();
+		const pool = new BackendConnectionPool();
 		const read = async () => readText(pool, backend);
 		await (expected === undefined ? expect(read()).rejects.toThrow(TransportError) : expect(read()).resolves.toBe(expected));
 	});
@@ -112,7 +112,7 @@
 		const backend = await startBackend((socket, requests) => {
 			socket.write(requests === 1 ? answer + answer.replace('ok', 'no') : answer);
 		});
-		const pool = new BackendPool();
+		const pool = new BackendConnectionPool();
 		for (let round = 0; round < 3; round++) {
 			// eslint-disable-next-line no-await-in-loop -- requests are sequential.
 			expect(await readText(pool, backend)).toBe('ok');
@@ -143,7 +143,7 @@
 
 	it('fails one non-retryable request on a reused connection and none after it', async () => {
 		const backend = await startResettingBackend(60);
-		const pool = new BackendPool();
+		const pool = new BackendConnectionPool();
 		const results: string[] = [];
 		for (let round = 0; round < 6; round++) {
 			// eslint-disable-next-line no-await-in-loop -- requests are sequential.
@@ -160,7 +160,7 @@
 		const backend = await startBackend(socket => {
 			socket.end(`${head}Content-Length: 2\r\nConnection: close\r\n\r\nok`);
 		});
-		const pool = new BackendPool();
+		const pool = new BackendConnectionPool();
 		pool.recordReuseFailure(performance.now());
 		const answers = await Promise.all(Array.from({length: 20}, async () => readText(pool, backend, false)));
 		expect(answers).toEqual(answers.map(() => 'ok'));
@@ -169,7 +169,7 @@
 
 	it('still receives retryable requests on reused connections', async () => {
 		const backend = await startResettingBackend(60);
-		const pool = new BackendPool();
+		const pool = new BackendConnectionPool();
 		pool.recordReuseFailure(performance.now());
 		await readText(pool, backend);
 		await delay(30);
--- a/src/transport/__tests__/event-splitter.test.ts
+++ b/src/transport/__tests__/event-splitter.test.ts
@@ -14,12 +14,12 @@
 
 		expect(events.map(event => event.id)).toEqual(['1', '2', undefined]);
 		expect(events.map(event => Buffer.from(event.bytes).toString()).join('')).toBe(stream);
-		expect(splitter.hasPartial).toBe(false);
+		expect(splitter.hasPartialEvent).toBe(false);
 	});
 
 	it('reports a partial event', () => {
 		const splitter = new EventSplitter();
 		expect(splitter.push(Buffer.from('id: 1\ndata: a\n'))).toEqual([]);
-		expect(splitter.hasPartial).toBe(true);
+		expect(splitter.hasPartialEvent).toBe(true);
 	});
 });
--- a/src/transport/backend-pool.ts
+++ b/src/transport/backend-connection-pool.ts
@@ -37,7 +37,7 @@
 };
 
 /** The keep-alive connections to all backend servers. */
-export class BackendPool extends Agent {
+export class BackendConnectionPool extends Agent {
 	private readonly idleTimeoutsMs = new WeakMap<Socket, number>();
 	private readonly idleTimers = new WeakMap<Socket, NodeJS.Timeout>();
 	private readonly idleSinceMs = new WeakMap<Socket, number>();
@@ -57,8 +57,8 @@
 	}
 
 	/** Selects the agent for a request: this pool, or one that opens a new connection if the request is not retryable and reuse is restricted. */
-	selectAgent(backend: Backend, isRepeatable: boolean, nowMs: number): Agent {
-		if (isRepeatable || nowMs >= this.reuseRestrictedUntilMs) {
+	selectAgent(backend: Backend, isRetryable: boolean, nowMs: number): Agent {
+		if (isRetryable || nowMs >= this.reuseRestrictedUntilMs) {
 			return this;
 		}
 
@@ -108,7 +108,7 @@
 }
 
 /** One request to one backend server. */
-export type Exchange = {
+export type BackendRequest = {
 	backend: Backend;
 	method: string;
 	path: string;
@@ -116,9 +116,9 @@
 	headers: string[];
 	body: Uint8Array | undefined;
 	/** Whether the request may be sent again after a failure that leaves it unknown whether it ran. */
-	isRepeatable: boolean;
+	isRetryable: boolean;
 	/** Connect timeout, in milliseconds. */
-	connectMs: number;
+	connectTimeoutMs: number;
 	/** Closes the connection when it aborts. */
 	signal: AbortSignal;
 };
@@ -148,7 +148,7 @@
 }
 
 /** A response whose body has not been read yet. */
-export class BackendAnswer {
+export class BackendResponse {
 	constructor(
 		readonly response: IncomingMessage,
 		private readonly request: ClientRequest,
@@ -161,7 +161,7 @@
 	}
 
 	/** Whether the body is complete; valid only after its end. */
-	get isWhole(): boolean {
+	get isComplete(): boolean {
 		return this.response.complete && !resetSockets.has(this.response.socket);
 	}
 
@@ -191,7 +191,7 @@
 			throw error instanceof TransportError ? error : new TransportError('response body is incomplete', {cause: error});
 		}
 
-		if (!this.isWhole) {
+		if (!this.isComplete) {
 			throw new TransportError('response body is incomplete');
 		}
 
@@ -205,9 +205,9 @@
  * @throws {ConnectError} When no connection could be opened; nothing was sent.
  * @throws {TransportError} When the connection failed or the signal aborted; the request may have run.
  */
-export async function exchange(pool: BackendPool, options: Exchange): Promise<BackendAnswer> {
+export async function sendBackendRequest(pool: BackendConnectionPool, options: BackendRequest): Promise<BackendResponse> {
 	const {
-		backend, method, path, headers, body, isRepeatable, connectMs, signal,
+		backend, method, path, headers, body, isRetryable: isRepeatable, connectTimeoutMs: connectMs, signal,
 	} = options;
 	signal.throwIfAborted();
 	const hasBody = body !== undefined && (body.length > 0 || (method !== 'GET' && method !== 'HEAD'));
@@ -244,7 +244,7 @@
 	return new Promise((resolve, reject) => {
 		request.once('response', response => {
 			pool.recordIdleTimeout(response);
-			resolve(new BackendAnswer(response, request));
+			resolve(new BackendResponse(response, request));
 		});
 		request.on('error', error => {
 			if (request.reusedSocket && !signal.aborted) {
--- a/src/transport/caller-admission.ts
+++ b/src/transport/caller-admission.ts
@@ -2,7 +2,7 @@
  * Admission of callers' requests by the active limits of their client accounts.
  */
 import type Hapi from '@hapi/hapi';
-import {type Admission, Limits, shareOfLimit} from '../coordination/admission.js';
+import {type Admission, AccountLimiter, shareOfLimit} from '../coordination/admission.js';
 import {Outcome} from '../protocol/openai.js';
 import {refuseRequest} from './caller-responses.js';
 import {type CallerContext} from './caller-context.js';
@@ -11,7 +11,7 @@
 
 /** Decides at `nowMs` whether a client account's request is admitted under this gateway's share of the account's limit. */
 export function admitRequest({limits, config, membership}: CallerContext, account: string, nowMs: number): Admission {
-	const limit = Limits.limitOf(config.activePreset, account);
+	const limit = AccountLimiter.limitOf(config.activePreset, account);
 	return limits.admit(account, shareOfLimit(limit, membership.aliveCount(nowMs)), nowMs);
 }
 
--- a/src/transport/caller-context.ts
+++ b/src/transport/caller-context.ts
@@ -2,7 +2,7 @@
 import type Hapi from '@hapi/hapi';
 import {type ClientAccount} from '../protocol/gateway-settings.js';
 import {type Completions} from '../coordination/completions.js';
-import {type Limits} from '../coordination/admission.js';
+import {type AccountLimiter} from '../coordination/admission.js';
 import {type Membership} from '../coordination/membership.js';
 import {type ServiceCalls} from '../coordination/service-calls.js';
 import {type ConfigTable} from '../state/config-table.js';
@@ -13,7 +13,7 @@
 	accounts: ClientAccount[];
 	completions: Completions;
 	services: ServiceCalls;
-	limits: Limits;
+	limits: AccountLimiter;
 	membership: Membership;
 	config: ConfigTable;
 	metrics: CallerMetrics;
--- a/src/transport/caller-responses.ts
+++ b/src/transport/caller-responses.ts
@@ -3,7 +3,7 @@
  * `x-sesametally-outcome` and in `error.outcome` whether the request ran.
  */
 import type Hapi from '@hapi/hapi';
-import {Outcome, errorBody} from '../protocol/openai.js';
+import {Outcome, createErrorBody} from '../protocol/openai.js';
 
 /** Retry-After of a refusal without a better estimate, in seconds. */
 export const defaultRetryAfterSeconds = 1;
@@ -21,7 +21,7 @@
 /** Creates an error response. */
 export function respondWithFailure(h: Hapi.ResponseToolkit, {status, message, code, outcome, retryAfterSeconds}: FailureResponse): Hapi.ResponseObject {
 	const type = status < 500 ? 'invalid_request_error' : 'server_error';
-	const response = h.response(errorBody(message, type, code, outcome)).code(status).header('x-sesametally-outcome', outcome);
+	const response = h.response(createErrorBody(message, type, code, outcome)).code(status).header('x-sesametally-outcome', outcome);
 	return retryAfterSeconds === undefined ? response : response.header('retry-after', String(retryAfterSeconds));
 }
 
--- a/src/transport/completion-routes.ts
+++ b/src/transport/completion-routes.ts
@@ -9,12 +9,12 @@
 import {PassThrough} from 'node:stream';
 import type Hapi from '@hapi/hapi';
 import {
-	Outcome, chatPrompt, checkChatRequest, checkCompletionRequest, defaultMaxTokens, errorBody,
+	Outcome, renderChatPrompt, checkChatRequest, checkCompletionRequest, defaultMaxTokens, createErrorBody,
 } from '../protocol/openai.js';
-import {promptTokens} from '../protocol/tokens.js';
+import {tokenizePrompt} from '../protocol/tokens.js';
 import {ProtocolError} from '../protocol/errors.js';
 import {type Token} from '../coordination/completions.js';
-import {type CompletionJob} from '../coordination/flight.js';
+import {type CompletionJob} from '../coordination/active-completion.js';
 import {NoBackendError, OutcomeUnknownError} from '../coordination/errors.js';
 import {createLogger} from '../log.js';
 import {admitRequest, refuseOverLimit} from './caller-admission.js';
@@ -130,7 +130,7 @@
 			requestId,
 			account,
 			model: body.model,
-			prompt: 'messages' in body ? chatPrompt(body.messages) : body.prompt,
+			prompt: 'messages' in body ? renderChatPrompt(body.messages) : body.prompt,
 			maxTokens: body.max_tokens ?? defaultMaxTokens,
 			priority: 0,
 			resumeFrom,
@@ -179,7 +179,7 @@
 		onEnd(isComplete);
 	}
 
-	const promptTokenCount = promptTokens(job.prompt).length;
+	const promptTokenCount = tokenizePrompt(job.prompt).length;
 	const completionTokenCount = job.maxTokens - job.resumeFrom;
 	const choice = isChat ? {message: {role: 'assistant', content: text}} : {text};
 	return h.response({
@@ -206,7 +206,7 @@
 			isComplete = true;
 		} catch (error) {
 			log.warn('stream failed after dispatch.', {request: job.requestId, error: String(error)});
-			output.write(formatEvent(JSON.stringify(errorBody(engineFailedMessage, 'server_error', 'engine_failed', Outcome.Unknown))));
+			output.write(formatEvent(JSON.stringify(createErrorBody(engineFailedMessage, 'server_error', 'engine_failed', Outcome.Unknown))));
 		} finally {
 			onEnd(isComplete);
 			output.end();
@@ -224,6 +224,6 @@
 		created: createdSeconds,
 		model: job.model,
 		seq: token.seq,
-		choices: [{index: 0, ...(isChat ? {delta} : {text: token.text}), finish_reason: token.last ? 'length' : null}],
+		choices: [{index: 0, ...(isChat ? {delta} : {text: token.text}), finish_reason: token.isLast ? 'length' : null}],
 	};
 }
--- a/src/transport/datagram-link.ts
+++ b/src/transport/datagram-link.ts
@@ -10,7 +10,7 @@
 import {TransportError} from './errors.js';
 
 /** Sends messages to peers without detecting losses. */
-export type MessageLink = {
+export type MessageSender = {
 	send(message: unknown, to: PeerAddress[]): void;
 };
 
@@ -18,7 +18,7 @@
 export const maxDatagramBytes = 1400;
 
 /** One bound UDP socket. */
-export class DatagramLink implements MessageLink {
+export class DatagramLink implements MessageSender {
 	/**
 	 * Binds an address and passes every decodable message to `onMessage` until the signal aborts.
 	 *
--- a/src/transport/event-splitter.ts
+++ b/src/transport/event-splitter.ts
@@ -25,7 +25,7 @@
 	private partialEvent: Uint8Array = new Uint8Array();
 
 	/** Whether the bytes so far end within an event. */
-	get hasPartial(): boolean {
+	get hasPartialEvent(): boolean {
 		return this.partialEvent.length > 0;
 	}
 
--- a/src/transport/front-server.ts
+++ b/src/transport/front-server.ts
@@ -83,7 +83,7 @@
 }
 
 /** Writes an error response of the daemon itself, or closes the connection if a response has begun. */
-export function writeOwnAnswer(response: ServerResponse, status: number, reason: string, headers: Record<string, string> = {}): void {
+export function writeErrorResponse(response: ServerResponse, status: number, reason: string, headers: Record<string, string> = {}): void {
 	if (response.headersSent || response.destroyed) {
 		response.destroy();
 		return;
@@ -209,7 +209,7 @@
 		let requestBufferedBytes = 0;
 		try {
 			if (this.isClosed) {
-				writeOwnAnswer(response, 503, 'stopping', {'Retry-After': stoppingRetryAfterSeconds});
+				writeErrorResponse(response, 503, 'stopping', {'Retry-After': stoppingRetryAfterSeconds});
 				return;
 			}
 
@@ -223,7 +223,7 @@
 		} catch (error) {
 			response.shouldKeepAlive = false;
 			if (error instanceof RejectedRequestError) {
-				writeOwnAnswer(response, error.statusCode, error.message);
+				writeErrorResponse(response, error.statusCode, error.message);
 			} else {
 				// The body was not read completely or the handler failed, so the outcome is unknown and no response is sent.
 				response.destroy(error as Error);
--- a/src/transport/http-server.ts
+++ b/src/transport/http-server.ts
@@ -69,7 +69,7 @@
 }
 
 /** Creates the server of a stand-in with the routes `/metrics` and `/debug/state`. */
-export function createObservedServer(listen: Listen, registry: Registry, readState: StateReader): Hapi.Server {
+export function createServerWithDiagnostics(listen: Listen, registry: Registry, readState: StateReader): Hapi.Server {
 	const server = createServer(listen);
 	addDiagnosticsRoutes(server, registry, readState);
 	return server;
--- a/src/transport/process-registry.ts
+++ b/src/transport/metrics-registry.ts
@@ -5,7 +5,7 @@
 const eventLoopSampleIntervalMs = 250;
 
 /** Creates a metrics registry with the default process metrics of Node.js. */
-export function createRegistry(): Registry {
+export function createMetricsRegistry(): Registry {
 	const registry = new Registry();
 	collectDefaultMetrics({register: registry, eventLoopMonitoringPrecision: eventLoopSampleIntervalMs});
 	return registry;
--- a/src/transport/port-probe.ts
+++ b/src/transport/port-probe.ts
@@ -7,7 +7,7 @@
  *
  * @param timeoutMs Longest wait for the connection, in milliseconds.
  */
-export async function refusesConnections(address: {host: string; port: number}, timeoutMs: number): Promise<boolean> {
+export async function isConnectionRefused(address: {host: string; port: number}, timeoutMs: number): Promise<boolean> {
 	return new Promise(resolve => {
 		const socket = connect(address);
 		const finish = (isRefused: boolean) => {
--- a/src/transport/raw-client.ts
+++ b/src/transport/raw-client.ts
@@ -10,7 +10,7 @@
 import {TransportError} from './errors.js';
 
 /** One request. */
-export type RawCall = {
+export type RawRequest = {
 	method: 'GET' | 'POST' | 'DELETE';
 	/** Path with the query string. */
 	path: string;
@@ -22,7 +22,7 @@
 };
 
 /** A response of any status. */
-export type RawAnswer = {statusCode: number; body: Uint8Array};
+export type RawResponse = {statusCode: number; body: Uint8Array};
 
 /** Most idle connections that one client keeps open. */
 const maxIdleConnections = 4;
@@ -43,7 +43,7 @@
 	 *
 	 * @throws {TransportError} When no complete response arrives; the request may have been executed.
 	 */
-	async call(call: RawCall): Promise<RawAnswer> {
+	async send(call: RawRequest): Promise<RawResponse> {
 		const {method, path, headers, body, timeoutMs, signal} = call;
 		const requestName = `${method} ${path.split('?')[0]}`;
 		const startedAtMs = performance.now();
--- a/src/transport/service-routes.ts
+++ b/src/transport/service-routes.ts
@@ -42,7 +42,7 @@
 				service: request.params.name as string,
 				call: request.params.call as string,
 				idempotencyKey: clientKey ?? `${account}-${randomUUID()}`,
-				idempotent: isIdempotent,
+				isIdempotent,
 				payload: request.payload ?? {},
 			};
 			try {
