--- a/src/coordination/__tests__/admission.test.ts
+++ b/src/coordination/__tests__/admission.test.ts
@@ -3,7 +3,7 @@
 
 const limit = {requestsPerSecond: 10, burst: 2, maxConcurrent: 3};
 
-describe('Limits', () => {
+describe('AccountLimiter', () => {
 	it.each([
 		{
 			name: 'admits a burst within the limit', at: [0, 0], releaseEach: true, expected: [true, true],
--- a/src/coordination/__tests__/daemon-record.test.ts
+++ b/src/coordination/__tests__/daemon-record.test.ts
@@ -10,7 +10,7 @@
 const {signal} = new AbortController();
 const isNamed = (value: unknown): value is {name: string} => typeof fieldsOf(value).name === 'string';
 
-describe('readOwnRecord', () => {
+describe('decodeDaemonRecord', () => {
 	it.each([
 		{name: 'decodes a valid record', text: '{"name":"a"}', expected: {name: 'a'}},
 		{name: 'rejects a field of the wrong type', text: '{"name":1}', expected: undefined},
--- a/src/coordination/__tests__/shared-limits.test.ts
+++ b/src/coordination/__tests__/shared-limits.test.ts
@@ -147,7 +147,7 @@
 	/** Rate offered in the ten seconds before that. */
 	beforePerSecond?: number;
 	/** Interval of the daemons' reports, in milliseconds. */
-	roundMs?: number;
+	reportIntervalMs?: number;
 	/** Delay until all daemons have a report, in milliseconds. */
 	reportDelayMs?: number;
 	seed?: number;
@@ -159,7 +159,7 @@
 
 /** Sends an account's requests through several daemons that report to each other what they admitted, and returns the most that was admitted in any window, the total admitted and the total offered. */
 function simulateHotAccount(simulation: Simulation): {most: number; total: number; offered: number} {
-	const {daemons, offeredPerSecond, beforePerSecond = 0, roundMs = 300, reportDelayMs = 0, seed = 1} = simulation;
+	const {daemons, offeredPerSecond, beforePerSecond = 0, reportIntervalMs = 300, reportDelayMs = 0, seed = 1} = simulation;
 	const generator = xoroshiro128plus(seed);
 	const random = () => uniformFloat64(generator);
 	const ledgers = Array.from({length: daemons}, () => new QuotaLedger(hotBounds, 0, true));
@@ -167,7 +167,7 @@
 	const reports: Array<{atMs: number; from: QuotaLedger; use: AccountUse}> = [];
 	const admitted: number[] = [];
 	const peers = {
-		daemons, silentDaemons: 0, reportDelayMs: reportDelayMs + (roundMs / 2), reportIntervalMs: roundMs, unreportedDaemons: 0, isIsolated: false,
+		daemons, silentDaemons: 0, reportDelayMs: reportDelayMs + (reportIntervalMs / 2), reportIntervalMs, unreportedDaemons: 0, isIsolated: false,
 	};
 	let due = 0;
 	let offered = 0;
@@ -181,7 +181,7 @@
 
 		// The daemons report at different times.
 		for (const [index, ledger] of ledgers.entries()) {
-			if ((atMs + (index * 35)) % roundMs < 5) {
+			if ((atMs + (index * 35)) % reportIntervalMs < 5) {
 				const use = ledger.ownTotals().get('a') ?? {admitted: 0, refused: 0};
 				reports.push({atMs: atMs + reportDelayMs, from: ledger, use: {admitted: use.admitted - reported[index].admitted, refused: use.refused - reported[index].refused}});
 				reported[index] = use;
@@ -207,25 +207,25 @@
 		{name: '6 daemons', daemons: 6},
 		{name: '9 daemons', daemons: 9},
 		{
-			name: '86 daemons that report through relays', daemons: 86, roundMs: 250, reportDelayMs: 300,
+			name: '86 daemons that report through relays', daemons: 86, reportIntervalMs: 250, reportDelayMs: 300,
 		},
 		{
-			name: '370 daemons that report through relays', daemons: 370, roundMs: 500, reportDelayMs: 300,
+			name: '370 daemons that report through relays', daemons: 370, reportIntervalMs: 500, reportDelayMs: 300,
 		},
-	])('admits most of the operators\' bound without exceeding it over $name', ({daemons, roundMs, reportDelayMs}) => {
+	])('admits most of the operators\' bound without exceeding it over $name', ({daemons, reportIntervalMs, reportDelayMs}) => {
 		// The rate decides at which point between two reports the limit is reached.
 		const admitted = Array.from({length: daemons > 100 ? 2 : 8}, (_, index) => simulateHotAccount({
-			daemons, roundMs, reportDelayMs, offeredPerSecond: 800_000 + (index * 120_000), beforePerSecond: index % 2 * 100_000, seed: index,
+			daemons, reportIntervalMs, reportDelayMs, offeredPerSecond: 800_000 + (index * 120_000), beforePerSecond: index % 2 * 100_000, seed: index,
 		}).most);
 		expect(Math.max(...admitted)).toBeLessThan(allowed * 0.98);
 		expect(Math.min(...admitted)).toBeGreaterThan(allowed * 0.8);
 	});
 
 	it.each([
-		{name: 'over 86 daemons that report less often', simulation: {daemons: 86, offeredPerSecond: 120_000, roundMs: 2150}},
+		{name: 'over 86 daemons that report less often', simulation: {daemons: 86, offeredPerSecond: 120_000, reportIntervalMs: 2150}},
 		{
 			name: 'over 86 daemons that report through relays', simulation: {
-				daemons: 86, offeredPerSecond: 190_000, roundMs: 250, reportDelayMs: 300,
+				daemons: 86, offeredPerSecond: 190_000, reportIntervalMs: 250, reportDelayMs: 300,
 			},
 		},
 		{name: 'when it requests no more than that', simulation: {daemons: 6, offeredPerSecond: 200_000}},
@@ -235,19 +235,19 @@
 	});
 });
 
-describe('RetryAllowance', () => {
+describe('RetryBudget', () => {
 	const bound = {ratio: 0.2, windowMs: 10_000, slack: 40};
 
 	/** Returns the retries granted in one window after a number of requests at each daemon, over all daemons. */
 	function granted(daemons: number, requests: number): number {
 		let total = 0;
 		for (let daemon = 0; daemon < daemons; daemon++) {
-			const allowance = new RetryBudget(bound);
+			const retryBudget = new RetryBudget(bound);
 			for (let index = 0; index < requests; index++) {
-				allowance.countRequest('s', 0);
+				retryBudget.countRequest('s', 0);
 			}
 
-			while (allowance.tryTake('s', RetryPurpose.Retry, daemons, 0)) {
+			while (retryBudget.tryTake('s', RetryPurpose.Retry, daemons, 0)) {
 				total++;
 			}
 		}
@@ -261,11 +261,11 @@
 	});
 
 	it('keeps replicas that fail every request from multiplying the load', () => {
-		const allowance = new RetryBudget(bound);
+		const retryBudget = new RetryBudget(bound);
 		let retries = 0;
 		for (let nowMs = 0; nowMs < 10_000; nowMs += 10) {
-			allowance.countRequest('s', nowMs);
-			retries += allowance.tryTake('s', RetryPurpose.Retry, 1, nowMs) ? 1 : 0;
+			retryBudget.countRequest('s', nowMs);
+			retries += retryBudget.tryTake('s', RetryPurpose.Retry, 1, nowMs) ? 1 : 0;
 		}
 
 		expect(retries).toBeLessThanOrEqual((1000 * bound.ratio) + bound.slack);
@@ -275,12 +275,12 @@
 		{name: 'restores it within the window', givenBackAtMs: 5000, isFree: true},
 		{name: 'changes nothing after the window', givenBackAtMs: 12_000, isFree: false},
 	])('giving back an unused attempt $name', ({givenBackAtMs, isFree}) => {
-		const allowance = new RetryBudget({ratio: 0, windowMs: 10_000, slack: 2});
-		expect(allowance.tryTake('s', RetryPurpose.Move, 1, 0)).toBe(true);
-		const isTakenAgain = givenBackAtMs > 10_000 && allowance.tryTake('s', RetryPurpose.Move, 1, givenBackAtMs);
-		allowance.giveBack('s', 0);
-		expect(allowance.attemptsInWindow('s', givenBackAtMs).extraAttempts).toBe(isTakenAgain ? 1 : 0);
-		expect(allowance.tryTake('s', RetryPurpose.Move, 1, givenBackAtMs)).toBe(isFree);
+		const retryBudget = new RetryBudget({ratio: 0, windowMs: 10_000, slack: 2});
+		expect(retryBudget.tryTake('s', RetryPurpose.Move, 1, 0)).toBe(true);
+		const isTakenAgain = givenBackAtMs > 10_000 && retryBudget.tryTake('s', RetryPurpose.Move, 1, givenBackAtMs);
+		retryBudget.giveBack('s', 0);
+		expect(retryBudget.attemptsInWindow('s', givenBackAtMs).extraAttempts).toBe(isTakenAgain ? 1 : 0);
+		expect(retryBudget.tryTake('s', RetryPurpose.Move, 1, givenBackAtMs)).toBe(isFree);
 	});
 });
 
--- a/src/coordination/__tests__/topic-read-limits.test.ts
+++ b/src/coordination/__tests__/topic-read-limits.test.ts
@@ -6,13 +6,13 @@
 const relayIntervalMs = 500;
 const maximums: TopicReadLimits = {waitMs: 1100, relayWaitMs: 1100, maxReportAgeMs: 2750};
 
-describe('limitsFor', () => {
+describe('computeReadLimits', () => {
 	it.each([
 		{boundMs: 1500}, {boundMs: 2000}, {boundMs: 3000}, {boundMs: 4000}, {boundMs: 17_000},
 	])('leaves time for another read within $boundMs ms when a connection stalls or the relays cannot read', ({boundMs}) => {
-		const {waitMs, relayWaitMs, maxReportAgeMs: carriedMs} = computeReadLimits(boundMs, relayIntervalMs, maximums);
+		const {waitMs, relayWaitMs, maxReportAgeMs} = computeReadLimits(boundMs, relayIntervalMs, maximums);
 		expect(waitMs + answerTimeoutMs + firstRetryDelayMs).toBeLessThan(boundMs);
-		expect(carriedMs + reportCheckIntervalMs).toBeLessThan(boundMs);
+		expect(maxReportAgeMs + reportCheckIntervalMs).toBeLessThan(boundMs);
 		expect(relayWaitMs).toBeLessThanOrEqual(waitMs);
 	});
 
@@ -25,8 +25,8 @@
 	it.each([
 		{boundMs: 2000}, {boundMs: 3000}, {boundMs: 4000}, {boundMs: 17_000},
 	])('lets only relays read with a bound of $boundMs ms while all reads are answered', ({boundMs}) => {
-		const {relayWaitMs, maxReportAgeMs: carriedMs} = computeReadLimits(boundMs, relayIntervalMs, maximums);
-		expect((2 * relayWaitMs) + relayIntervalMs).toBeLessThanOrEqual(carriedMs);
+		const {relayWaitMs, maxReportAgeMs} = computeReadLimits(boundMs, relayIntervalMs, maximums);
+		expect((2 * relayWaitMs) + relayIntervalMs).toBeLessThanOrEqual(maxReportAgeMs);
 	});
 
 	it.each([
--- a/src/coordination/cost-meter.ts
+++ b/src/coordination/cost-meter.ts
@@ -35,8 +35,8 @@
 	}
 
 	/** Returns the rate in cost units a millisecond: the higher of the rates over two rounds of reports and over a second or two rounds, whichever is longer. */
-	ratePerMs(roundMs: number, nowMs: number): number {
-		const shortSpanSteps = Math.max(1, Math.ceil(roundMs * shortSpanRounds / stepMs));
+	ratePerMs(reportIntervalMs: number, nowMs: number): number {
+		const shortSpanSteps = Math.max(1, Math.ceil(reportIntervalMs * shortSpanRounds / stepMs));
 		return Math.max(this.rateOver(shortSpanSteps, nowMs), this.rateOver(Math.max(shortSpanSteps, longSpanSteps), nowMs));
 	}
 
--- a/src/coordination/duty-lease.ts
+++ b/src/coordination/duty-lease.ts
@@ -126,7 +126,7 @@
 		return this.isHolder && nowMs - this.confirmedAtMs <= confirmationValidMs;
 	}
 
-	/** Returns what this daemon reports to its peers about the holder. */
+	/** Creates the update about the holder that this daemon sends to its peers; undefined when it has seen no holder, or when its own claim lacks a recent confirmation. */
 	createHolderUpdate(nowMs: number): HolderUpdate | undefined {
 		if (this.isConfirmedAt(nowMs)) {
 			return {token: this.newestClaim!.token, ageMs: 0};
@@ -135,7 +135,7 @@
 		return this.holderLastSeenAtMs === undefined || !this.newestClaim || this.isHolder ? undefined : {token: this.newestClaim.token, ageMs: Math.round(nowMs - this.holderLastSeenAtMs)};
 	}
 
-	/** Applies a peer's report about the holder. */
+	/** Applies the update about the holder that a peer sent. */
 	applyHolderUpdate(update: HolderUpdate, nowMs: number): void {
 		if (update.token < (this.newestClaim?.token ?? 0)) {
 			return;
--- a/src/coordination/duty-runner.ts
+++ b/src/coordination/duty-runner.ts
@@ -141,8 +141,8 @@
 	}
 
 	private async orderPools(signal: AbortSignal): Promise<void> {
-		const {clock, listStability: list} = this.parts;
-		if (!isListComplete(list(clock.now()))) {
+		const {clock, listStability} = this.parts;
+		if (!isListComplete(listStability(clock.now()))) {
 			return;
 		}
 
--- a/src/coordination/fleet/__fixtures__/test-net.ts
+++ b/src/coordination/fleet/__fixtures__/test-net.ts
@@ -45,7 +45,7 @@
 	readonly quarantineRecord: QuarantineRecord;
 	readonly statedLimits: StatedLimits;
 	readonly topics: Record<GossipedTopic, TopicFollower>;
-	readonly beliefs = {[Topic.Config]: new ViewAge(), [Topic.Backends]: new ViewAge()};
+	readonly viewAges = {[Topic.Config]: new ViewAge(), [Topic.Backends]: new ViewAge()};
 	readonly backendsSeen: string[] = [];
 
 	constructor(readonly name: string, readonly failureDomain: string, readonly host: string, net: TestNet) {
@@ -67,7 +67,7 @@
 					seen.push(record.key);
 				},
 			},
-			viewAge: this.beliefs[topic],
+			viewAge: this.viewAges[topic],
 			clock,
 			waitMs: () => 0,
 			maxBytes: 1024,
@@ -84,7 +84,7 @@
 		this.quarantineRecord = new QuarantineRecord({
 			store: net.store, quarantine: this.quarantine, lease: this.lease, clock,
 		});
-		this.statedLimits = new StatedLimits((backend, most, nowMs) => selectSenders(this.fleet, name, backend, most, nowMs));
+		this.statedLimits = new StatedLimits((backend, maxSenders, nowMs) => selectSenders(this.fleet, name, backend, maxSenders, nowMs));
 		this.messenger = new FleetMessenger({
 			settings: {
 				name, failureDomain, host, peerPort: 1, bounds: {quotaWindowMs: net.bounds.windowMs},
--- a/src/coordination/fleet/__tests__/fleet-messenger.test.ts
+++ b/src/coordination/fleet/__tests__/fleet-messenger.test.ts
@@ -85,15 +85,15 @@
 	});
 
 	it.each([
-		{name: 'one daemon', turnedAway: 1, change: false},
-		{name: 'one daemon, while an entry changes', turnedAway: 1, change: true},
-		{name: 'half of the daemons, while an entry changes', turnedAway: 3, change: true},
-	])('keeps views current through peers when the store turns away $name', async ({turnedAway, change}) => {
+		{name: 'one daemon', rejectedDaemons: 1, change: false},
+		{name: 'one daemon, while an entry changes', rejectedDaemons: 1, change: true},
+		{name: 'half of the daemons, while an entry changes', rejectedDaemons: 3, change: true},
+	])('keeps views current through peers when the store rejects the reads of $name', async ({rejectedDaemons, change}) => {
 		const net = await startNet(6, 3);
 		await readAll(net.daemons);
-		const [away, others] = [net.daemons.slice(0, turnedAway), net.daemons.slice(turnedAway)];
+		const [rejected, others] = [net.daemons.slice(0, rejectedDaemons), net.daemons.slice(rejectedDaemons)];
 		net.store.isDown = true;
-		await readAll(away);
+		await readAll(rejected);
 		net.store.isDown = false;
 		if (change) {
 			net.store.put(Topic.Backends, 'i-1', '{}');
@@ -105,9 +105,9 @@
 			net.run(1000);
 		}
 
-		for (const {beliefs, backendsSeen} of away) {
-			expect(beliefs[Topic.Backends].ageMs(net.nowMs)).toBeLessThan(2500);
-			expect(beliefs[Topic.Config].ageMs(net.nowMs)).toBeLessThan(2500);
+		for (const {viewAges, backendsSeen} of rejected) {
+			expect(viewAges[Topic.Backends].ageMs(net.nowMs)).toBeLessThan(2500);
+			expect(viewAges[Topic.Config].ageMs(net.nowMs)).toBeLessThan(2500);
 			expect(backendsSeen).toEqual(change ? ['i-1'] : []);
 		}
 	});
@@ -122,7 +122,7 @@
 		await readAll(net.daemons.filter(daemon => isRelay(daemon)));
 		net.run(800);
 		expect(net.daemons.map(daemon => daemon.backendsSeen.join(' '))).toEqual(net.daemons.map(() => 'i-1 i-2'));
-		expect(Math.max(...net.daemons.map(daemon => daemon.beliefs[Topic.Config].ageMs(net.nowMs)))).toBeLessThan(1400);
+		expect(Math.max(...net.daemons.map(daemon => daemon.viewAges[Topic.Config].ageMs(net.nowMs)))).toBeLessThan(1400);
 	});
 
 	it('replaces the first relay of a failure domain that dies, and counts what is admitted meanwhile', async () => {
--- a/src/coordination/fleet/__tests__/relay-selection.test.ts
+++ b/src/coordination/fleet/__tests__/relay-selection.test.ts
@@ -14,7 +14,7 @@
 
 const names = (entries: Array<{name: string}>) => entries.map(({name}) => name);
 
-describe('RelayChoice', () => {
+describe('RelaySelection', () => {
 	it.each([
 		{
 			name: 'selects the first two daemons by name', asked: [], heard: [], nowMs: 0, relays: ['a', 'b'],
--- a/src/coordination/fleet/fleet-messenger.ts
+++ b/src/coordination/fleet/fleet-messenger.ts
@@ -54,7 +54,7 @@
 /** How long the reports to all daemons include the sums of the window after a daemon requested them, in milliseconds: three rounds. */
 const windowUsesSendMs = 750;
 
-/** Number of peers that a daemon of a full mesh queries in each round while the store turns it away. */
+/** Number of peers that a daemon of a full mesh queries in each round while the store rejects its reads. */
 const queriedPeers = 2;
 /** Rounds between two messages with all suspected requests and all limits in force, for daemons that were cut off: two seconds. */
 const fullUpdateRounds = 8;
@@ -243,15 +243,15 @@
 		return {host: this.parts.settings.host, port: this.parts.settings.peerPort};
 	}
 
-	/** In a full mesh, queries some peers for the topics that this daemon cannot read from the store: the store may turn away some daemons and serve others. */
+	/** In a full mesh, queries some peers for the topics that this daemon cannot read from the store: the store may reject the reads of some daemons and serve others. */
 	private queryPeers(nowMs: number): void {
 		const {fleet, topics} = this.parts;
-		const lostTopics = gossipedTopics.filter(topic => topics[topic].isReadFailing);
+		const failingTopics = gossipedTopics.filter(topic => topics[topic].isReadFailing);
 		const peers = fleet.addresses(false, nowMs);
-		if (lostTopics.length > 0 && peers.length > 0) {
-			// The peers change with each round, since those queried may be turned away as well.
+		if (failingTopics.length > 0 && peers.length > 0) {
+			// The peers change with each round, since the reads of those queried may be rejected as well.
 			const receivers = Array.from({length: Math.min(queriedPeers, peers.length)}, (_, index) => peers[((this.round * queriedPeers) + index) % peers.length]);
-			const offsets = Object.fromEntries(lostTopics.map(topic => [topic, topics[topic].nextOffset]));
+			const offsets = Object.fromEntries(failingTopics.map(topic => [topic, topics[topic].nextOffset]));
 			this.link?.send({...this.createReport(this.digests.own(), true, nowMs), offsets}, receivers);
 		}
 	}
@@ -356,7 +356,7 @@
 		const {fleet, settings} = this.parts;
 		const isRelay = fleet.roleAt(nowMs) === FleetRole.Relay;
 		const domainTopics = receiver.failureDomain === settings.failureDomain ? gossipedTopics : [];
-		// In a full mesh, every daemon reads the store itself, except one that the store turns away: it names the topics that it lacks by their offsets.
+		// In a full mesh, every daemon reads the store itself, except one whose reads the store rejects: it names the topics that it lacks by their offsets.
 		const topics = isRelay ? domainTopics : gossipedTopics.filter(topic => offsets[topic] !== undefined);
 		return {
 			kind: FleetMessageKind.View,
--- a/src/coordination/fleet/peer-counter.ts
+++ b/src/coordination/fleet/peer-counter.ts
@@ -46,14 +46,14 @@
 		const maxDaemons = Math.max(knownDaemons, this.recentFleetSize.note(shouldRemember ? knownDaemons : 0, nowMs));
 		const unheardDaemons = knownDaemons - daemons;
 		// If most of the daemons were heard, the others are cut off rather than still starting.
-		const unheardOf = unheardDaemons > daemons ? unheardDaemons : 0;
+		const unreportedDaemons = unheardDaemons > daemons ? unheardDaemons : 0;
 		const silent = fleet.silent(nowMs);
 		return {
-			daemons: maxDaemons - unheardOf,
-			silentDaemons: silent + maxDaemons - daemons - unheardOf,
+			daemons: maxDaemons - unreportedDaemons,
+			silentDaemons: silent + maxDaemons - daemons - unreportedDaemons,
 			reportDelayMs: propagationMs[fleet.roleAt(nowMs)] + (reportIntervalMs / 2),
 			reportIntervalMs,
-			unreportedDaemons: unheardOf,
+			unreportedDaemons,
 			// Listed daemons may be long gone, so only daemons that were heard from count here.
 			isIsolated: this.isIsolated(silent > daemons / 2, nowMs),
 		};
--- a/src/coordination/fleet/reported-group.ts
+++ b/src/coordination/fleet/reported-group.ts
@@ -55,9 +55,9 @@
 		return this.counters.note(`${sender.incarnation}/${digest.epoch}`, readUse(digest), nowMs);
 	}
 
-	/** The report that covers the most responsive daemons, among those received within a time. Of equal ones, a reporter that still answers is preferred, then the first by name, since it is asked most often. */
-	mostComplete(withinMs: number, nowMs: number): GroupReport | undefined {
-		const recent = [...this.reporters].filter(([, report]) => nowMs - report.heardAtMs <= withinMs);
+	/** The report that covers the most responsive daemons, among those received at most `maxAgeMs` ago. Of equal ones, a reporter that still answers is preferred, then the first by name, since it is asked most often. */
+	mostComplete(maxAgeMs: number, nowMs: number): GroupReport | undefined {
+		const recent = [...this.reporters].filter(([, report]) => nowMs - report.heardAtMs <= maxAgeMs);
 		const answerRank = ({heardAtMs}: GroupReport) => Number(nowMs - heardAtMs <= answeringWithinMs);
 		return recent.toSorted(([nameA, a], [nameB, b]) => responsiveDaemons(b.digest) - responsiveDaemons(a.digest) || answerRank(b) - answerRank(a) || (nameA < nameB ? -1 : 1)).at(0)?.[1];
 	}
--- a/src/coordination/fleet/sender-selection.ts
+++ b/src/coordination/fleet/sender-selection.ts
@@ -1,6 +1,6 @@
 /** Selects the daemons that send to a backend server whose stated limit is too low to be shared by all of them. */
 import {createHash} from 'node:crypto';
-import {type SenderChoice} from '../stated-limits.js';
+import {type SenderSelection} from '../stated-limits.js';
 import {type FleetTable} from './fleet-table.js';
 
 /**
@@ -10,7 +10,7 @@
  *
  * @param localName This daemon's name.
  */
-export function selectSenders(fleet: FleetTable, localName: string, backend: number, maxSenders: number, nowMs: number): SenderChoice {
+export function selectSenders(fleet: FleetTable, localName: string, backend: number, maxSenders: number, nowMs: number): SenderSelection {
 	// A daemon that hears few of the others would select itself in place of daemons that still send.
 	if (!fleet.hearsMost(nowMs)) {
 		return {isSender: false, senders: 1};
--- a/src/coordination/pool-demand.ts
+++ b/src/coordination/pool-demand.ts
@@ -13,7 +13,7 @@
 
 /** Most requests in flight that a replica serves within the latency target: an engine's decoding step takes a quarter longer with 12 requests than with one. */
 const maxInFlightPerReplica = 12;
-/** Average share of a replica's slots to use; the rest takes requests that daemons place at the same time, before they hear of each other's. */
+/** Average share of a replica's slots to use; the rest takes requests that daemons place at the same time, before they learn of each other's. */
 const targetSlotShare = 0.5;
 /** Fewest replicas of a service, whatever its traffic. */
 const minReplicas = 3;
--- a/src/coordination/quarantine/__tests__/crash-watch.test.ts
+++ b/src/coordination/quarantine/__tests__/crash-watch.test.ts
@@ -55,7 +55,7 @@
 	});
 });
 
-describe('refusesConnections', () => {
+describe('isConnectionRefused', () => {
 	it('is false for a listening port and true after it is closed', async () => {
 		const server = createServer().listen(0, '127.0.0.1');
 		await new Promise(resolve => {
--- a/src/coordination/quarantine/__tests__/quarantine.test.ts
+++ b/src/coordination/quarantine/__tests__/quarantine.test.ts
@@ -93,7 +93,7 @@
 		expect(quarantine.admit(fingerprint, probeAtMs + 200)!.retryAfterMs).toBeGreaterThan(initialQuarantineMs * 1.9);
 	});
 
-	it('clears a request when a run of it completes, also at daemons that are told so, even if they are told of the old crashes again', () => {
+	it('clears a request when a run of it completes, also at daemons that receive its update, even if they receive the old crashes again', () => {
 		const [quarantine, other] = [afterCrashes(crashesToQuarantine), afterCrashes(crashesToQuarantine)];
 		const stale = other.recentUpdates(true, startMs);
 		quarantine.recordCompletedRun(fingerprint, startMs + 500);
@@ -113,7 +113,7 @@
 		}
 	});
 
-	it('tells the request that was retried after each crash from those that ran beside it', () => {
+	it('distinguishes the request that was retried after each crash from those that ran beside it', () => {
 		const quarantine = new Quarantine(() => false);
 		for (let crash = 0; crash < 3; crash++) {
 			for (let beside = 0; beside < 64; beside++) {
--- a/src/coordination/quarantine/crash-watch.ts
+++ b/src/coordination/quarantine/crash-watch.ts
@@ -25,7 +25,7 @@
 	backends: BackendTable;
 	quarantine: Quarantine;
 	clock: SteadyClock;
-	/** Tells whether an address refuses connections. */
+	/** Returns whether an address refuses connections. */
 	refuses?: typeof isConnectionRefused;
 };
 
--- a/src/coordination/quarantine/quarantine.ts
+++ b/src/coordination/quarantine/quarantine.ts
@@ -59,7 +59,7 @@
 	private readonly suspects = new Map<number, Suspect>();
 	private prunedAtMs = Number.NEGATIVE_INFINITY;
 
-	/** @param canProbe Tells whether this daemon is the one that may probe requests whose quarantine is over. */
+	/** @param canProbe Returns whether this daemon is the one that may probe requests whose quarantine is over. */
 	constructor(private readonly canProbe: (nowMs: number) => boolean) {}
 
 	/** Whether nothing is suspected, so that no request needs a fingerprint. */
@@ -134,11 +134,11 @@
 		return [...this.suspects].filter(([, suspect]) => isQuarantined(suspect)).map(entry => toUpdate(entry, nowMs));
 	}
 
-	/** Applies updates received from another daemon or read from the store; known ones change nothing. New ones are gossiped further if `shouldPropagate`. */
-	applyUpdates(updates: SuspectUpdate[], shouldPropagate: boolean, nowMs: number): void {
+	/** Applies updates received from another daemon or read from the store; known ones change nothing. New ones are gossiped further if `shouldForward`. */
+	applyUpdates(updates: SuspectUpdate[], shouldForward: boolean, nowMs: number): void {
 		for (const update of updates) {
 			const suspect = this.findOrAddSuspect(update.fingerprint);
-			if (this.mergeUpdate(suspect, update, nowMs) && shouldPropagate) {
+			if (this.mergeUpdate(suspect, update, nowMs) && shouldForward) {
 				suspect.changedAtMs = nowMs;
 			}
 		}
--- a/src/coordination/quota-ledger.ts
+++ b/src/coordination/quota-ledger.ts
@@ -202,9 +202,9 @@
 	}
 
 	/** Returns the bounds to store for the case that all daemons are lost at once: what they admitted in the window and may admit until the next write; undefined while this daemon does not know the whole window. */
-	boundsToStore(roundMs: number, nowMs: number): Record<string, WindowBound> | undefined {
+	boundsToStore(reportIntervalMs: number, nowMs: number): Record<string, WindowBound> | undefined {
 		const profiles = this.profiles(nowMs);
-		return profiles && Object.fromEntries(Object.entries(profiles).map(([name, uses]) => [name, {uses, ahead: this.expectedUntilNextWrite(name, uses, roundMs, nowMs)}]));
+		return profiles && Object.fromEntries(Object.entries(profiles).map(([name, uses]) => [name, {uses, ahead: this.expectedUntilNextWrite(name, uses, reportIntervalMs, nowMs)}]));
 	}
 
 	/** Returns whether more was admitted to an account than its bound covers, so that a daemon that started from the bound would grant too much. */
@@ -220,10 +220,10 @@
 	}
 
 	/** Returns the cost units that an account may be admitted while a stored bound must hold: what it is expected to request, as far as its limit allows. */
-	private expectedUntilNextWrite(accountName: string, uses: UseProfile, roundMs: number, nowMs: number): number {
+	private expectedUntilNextWrite(accountName: string, uses: UseProfile, reportIntervalMs: number, nowMs: number): number {
 		const window = this.window(accountName);
 		const {current} = window.limits;
-		const expected = (window.peersRequested.ratePerMs(roundMs, nowMs) + window.ownRequested.ratePerMs(roundMs, nowMs)) * boundLifetimeMs * expectedCostFactor;
+		const expected = (window.peersRequested.ratePerMs(reportIntervalMs, nowMs) + window.ownRequested.ratePerMs(reportIntervalMs, nowMs)) * boundLifetimeMs * expectedCostFactor;
 		if (!current) {
 			return Math.round(expected);
 		}
@@ -256,9 +256,9 @@
 	 * cover what the others admit before they notice that this daemon is silent. A restarted
 	 * daemon gets half, since it may have admitted the other half before.
 	 */
-	private equalShare(account: Account, {daemons, unreportedDaemons: unheardOf}: QuotaPeers, nowMs: number): number {
+	private equalShare(account: Account, {daemons, unreportedDaemons}: QuotaPeers, nowMs: number): number {
 		const hasRestarted = !this.isFirstStart && nowMs - this.startedAtMs < this.bounds.windowMs;
-		return this.granted(account, nowMs) / (daemons + unheardOf) / (hasRestarted ? 2 : 1);
+		return this.granted(account, nowMs) / (daemons + unreportedDaemons) / (hasRestarted ? 2 : 1);
 	}
 
 	private granted(account: Account, nowMs: number): number {
--- a/src/coordination/record-sinks.ts
+++ b/src/coordination/record-sinks.ts
@@ -82,10 +82,10 @@
 		try {
 			const backend = this.records.readBackend(record.key, record.value);
 			this.unreadableKeys.delete(record.key);
-			const {hasStartedLeaving: beganToLeave, isNew} = this.backends.upsert(backend, nowMs);
+			const {hasStartedLeaving, isNew} = this.backends.upsert(backend, nowMs);
 			this.lastAddedAtMs = isNew ? nowMs : this.lastAddedAtMs;
-			if (beganToLeave || isNew) {
-				log.info(beganToLeave ? 'backend server is leaving.' : 'backend server added to the list.', {
+			if (hasStartedLeaving || isNew) {
+				log.info(hasStartedLeaving ? 'backend server is leaving.' : 'backend server added to the list.', {
 					backend: backend.id,
 					service: backend.service,
 					address: `${backend.host}:${backend.port}`,
--- a/src/coordination/retry-budget.ts
+++ b/src/coordination/retry-budget.ts
@@ -59,14 +59,14 @@
 	/** Returns the sums over the window. */
 	sum(nowMs: number): {firstAttempts: number; extraAttempts: number} {
 		this.currentCounts(nowMs);
-		let requests = 0;
-		let retries = 0;
+		let firstAttempts = 0;
+		let extraAttempts = 0;
 		for (const count of this.counts) {
-			requests += count.firstAttempts;
-			retries += count.extraAttempts;
+			firstAttempts += count.firstAttempts;
+			extraAttempts += count.extraAttempts;
 		}
 
-		return {firstAttempts: requests, extraAttempts: retries};
+		return {firstAttempts, extraAttempts};
 	}
 
 	private stepOf(atMs: number): number {
@@ -88,9 +88,9 @@
 	/** Takes one further attempt from the budget if this daemon's share allows it; `daemons` is the number of daemons that share the budget. */
 	tryTake(service: string, purpose: RetryPurpose, daemons: number, nowMs: number): boolean {
 		const window = this.window(service);
-		const {firstAttempts: requests, extraAttempts: retries} = window.sum(nowMs);
-		const share = (this.bound.ratio * requests) + (this.bound.slack / Math.max(1, daemons));
-		if (retries + 1 > share * usableShares[purpose]) {
+		const {firstAttempts, extraAttempts} = window.sum(nowMs);
+		const share = (this.bound.ratio * firstAttempts) + (this.bound.slack / Math.max(1, daemons));
+		if (extraAttempts + 1 > share * usableShares[purpose]) {
 			return false;
 		}
 
--- a/src/coordination/serving/__tests__/backend-selector.test.ts
+++ b/src/coordination/serving/__tests__/backend-selector.test.ts
@@ -54,9 +54,9 @@
 	const selector = new BackendSelector({
 		backends, placement, fleet, quarantine, statedLimits: limits, clock,
 	});
-	const allowance = new RetryBudget({ratio: 0, windowMs: 10_000, slack: 100});
+	const retryBudget = new RetryBudget({ratio: 0, windowMs: 10_000, slack: 100});
 	const reservations = new RetryReservations({
-		selector, retryBudget: allowance, fleet, quarantine, clock,
+		selector, retryBudget, fleet, quarantine, clock,
 	});
 	return {selector, limits, reservations};
 }
--- a/src/coordination/serving/dispatcher.ts
+++ b/src/coordination/serving/dispatcher.ts
@@ -57,7 +57,7 @@
 	kind: DispatchKind.Answer;
 	backend: Backend;
 	answer: BackendResponse;
-	marks: AnswerMetadata;
+	metadata: AnswerMetadata;
 	running: RunningRequest;
 	attempt: Attempt;
 	/** Closes the connection. */
@@ -274,24 +274,24 @@
 	/** Checks that an answer belongs to the request, and applies what its headers state of the run, the load and the rate limit. */
 	private classifyAnswer(
 		served: ServedRequest,
-		started: Omit<StartedAnswer, 'kind' | 'marks'>,
+		started: Omit<StartedAnswer, 'kind' | 'metadata'>,
 		options: DispatchOptions,
 		fail: (failure: FailedDispatch) => FailedDispatch,
 	): StartedAnswer | FailedDispatch {
 		const {dialect, backends, placement, clock} = this.dependencies;
 		const {backend, answer} = started;
-		const marks = dialect.readAnswer(answer.response.headers);
+		const metadata = dialect.readAnswer(answer.response.headers);
 		const nowMs = clock.now();
-		if (marks.load) {
-			placement.noteLoad(backend.id, marks.load, nowMs);
+		if (metadata.load) {
+			placement.noteLoad(backend.id, metadata.load, nowMs);
 		}
 
-		const isValid = marks.requestId === served.inputs.request.id && marks.isSealed && !marks.isEncoded;
-		if (isValid || (marks.limitPerSecond !== undefined && answer.status !== misdirectedRequestStatus)) {
-			this.dependencies.statedLimits.noteStated(backend.id, marks.limitPerSecond, nowMs);
+		const isValid = metadata.requestId === served.inputs.request.id && metadata.isSealed && !metadata.isEncoded;
+		if (isValid || (metadata.limitPerSecond !== undefined && answer.status !== misdirectedRequestStatus)) {
+			this.dependencies.statedLimits.noteStated(backend.id, metadata.limitPerSecond, nowMs);
 		}
 
-		if (answer.status === misdirectedRequestStatus || marks.isNotRun) {
+		if (answer.status === misdirectedRequestStatus || metadata.isNotRun) {
 			if (answer.status === misdirectedRequestStatus) {
 				backends.markReplaced(backend.id, nowMs);
 				log.info('address now belongs to another backend server.', {backend: backend.id});
@@ -312,6 +312,6 @@
 			return fail({kind: DispatchKind.Unknown, reason: `not its answer (status ${answer.status})`});
 		}
 
-		return {...started, kind: DispatchKind.Answer, marks};
+		return {...started, kind: DispatchKind.Answer, metadata};
 	}
 }
--- a/src/coordination/serving/forwarder.ts
+++ b/src/coordination/serving/forwarder.ts
@@ -34,7 +34,7 @@
 /** The outcome of a request, as it appears in logs and metrics. */
 export enum Outcome {
 	Served = 'served',
-	/** An error answer of a backend server was passed on. */
+	/** An error answer of a backend server was forwarded to the client. */
 	BackendFailure = 'backend-failure',
 	/** No backend server ran the request, and none will. */
 	Refused = 'refused',
@@ -92,7 +92,7 @@
 	constructor(private readonly dependencies: ForwarderDependencies) {}
 
 	async handle(front: FrontRequest): Promise<void> {
-		const {dialect, clock, routes, initialView: firstView} = this.dependencies;
+		const {dialect, clock, routes, initialView} = this.dependencies;
 		const arrivedAtMs = clock.now();
 		const request = dialect.readRequest(front.method, front.path, front.rawHeaders);
 		if (!request || request.id === '') {
@@ -100,7 +100,7 @@
 			return;
 		}
 
-		await firstView.wait(initialViewWaitMs);
+		await initialView.wait(initialViewWaitMs);
 		const admission = this.admit(request, front.body, arrivedAtMs);
 		if (isRejection(admission)) {
 			this.reject(front, request.id, admission, arrivedAtMs);
@@ -125,23 +125,23 @@
 	/** Finds the route and the account of a request and charges its cost to the account's limit. */
 	private admit(request: CallerRequest, body: Uint8Array, nowMs: number): Admission | Rejection {
 		const {
-			routes, configView: belief, maxViewAgeMs: mostBeliefMs, maxDenialViewAgeMs: mostDenialMs, quota, quotaPeers, retryBudget: allowance, quarantine,
+			routes, configView, maxViewAgeMs, maxDenialViewAgeMs, quota, quotaPeers, retryBudget, quarantine,
 		} = this.dependencies;
 		if (!routes.current) {
 			return {status: 503, reason: 'configuration not known yet', retryAfterMs: outageRetryAfterMs};
 		}
 
-		const viewAgeMs = belief.ageMs(nowMs);
+		const viewAgeMs = configView.ageMs(nowMs);
 		const outdated: Rejection = {status: 503, reason: 'configuration too old', retryAfterMs: outageRetryAfterMs};
 		const route = routes.match(request.host, request.path);
 		if (!route) {
-			return viewAgeMs > mostDenialMs ? outdated : {status: 404, reason: 'no such route'};
+			return viewAgeMs > maxDenialViewAgeMs ? outdated : {status: 404, reason: 'no such route'};
 		}
 
 		let account: Account | undefined;
 		if (!route.isPublic && routes.requiresApiKeys) {
 			account = request.apiKey === undefined ? undefined : routes.accountOf(request.apiKey);
-			if (viewAgeMs > (account ? mostBeliefMs : mostDenialMs)) {
+			if (viewAgeMs > (account ? maxViewAgeMs : maxDenialViewAgeMs)) {
 				return outdated;
 			}
 
@@ -168,7 +168,7 @@
 			return {status: 429, reason: `over the limit of ${account!.name}: cost ${cost}, ${refusal.waitMs} ms short, ${peers.silentDaemons} of ${peers.daemons} daemons silent`, retryAfterMs: refusal.waitMs};
 		}
 
-		allowance.countRequest(service, nowMs);
+		retryBudget.countRequest(service, nowMs);
 		return {
 			route, account, service, cost, fingerprint,
 		};
@@ -187,7 +187,7 @@
 
 	private reject(front: FrontRequest, id: string, rejection: Rejection, nowMs: number): void {
 		const {status, reason, retryAfterMs} = rejection;
-		const {routes, configView: belief, metrics} = this.dependencies;
+		const {routes, configView, metrics} = this.dependencies;
 		if (status === 429 || status === 503) {
 			writeRefusal(front.response, status, reason, addRetryJitter(retryAfterMs ?? outageRetryAfterMs));
 		} else {
@@ -196,7 +196,7 @@
 
 		metrics.recordRequest('none', Outcome.Rejected, 0);
 		log.info('rejected.', {
-			request: id, status, reason, configVersion: routes.version, viewAgeMs: Math.round(belief.ageMs(nowMs)),
+			request: id, status, reason, configVersion: routes.version, viewAgeMs: Math.round(configView.ageMs(nowMs)),
 		});
 	}
 
@@ -269,12 +269,12 @@
 
 	/** Counts a finished request in the metrics and writes its log line. */
 	private recordOutcome(served: ServedRequest, outcome: Outcome, details: {status?: number; events?: number; reason?: string}): void {
-		const {clock, configView: belief, metrics} = this.dependencies;
+		const {clock, configView, metrics} = this.dependencies;
 		const {request, route, account, service, configVersion, arrivedAtMs} = served.inputs;
 		const nowMs = clock.now();
 		metrics.recordRequest(route.name, outcome, (nowMs - arrivedAtMs) / 1000);
 		log.info(`${outcome}.`, {
-			request: request.id, route: route.name, account: account?.name, service, ...details, ms: Math.round(nowMs - arrivedAtMs), configVersion, viewAgeMs: Math.round(belief.ageMs(nowMs)),
+			request: request.id, route: route.name, account: account?.name, service, ...details, ms: Math.round(nowMs - arrivedAtMs), configVersion, viewAgeMs: Math.round(configView.ageMs(nowMs)),
 			attempts: served.attempts.map(attempt => `${attempt.backendId} +${attempt.sentAfterMs} cost ${attempt.costMs}: ${attempt.result}`),
 			fingerprint: served.excluded.size > 0 ? formatFingerprint(served.fingerprint) : undefined,
 		});
--- a/src/coordination/serving/retry-reservations.ts
+++ b/src/coordination/serving/retry-reservations.ts
@@ -88,8 +88,8 @@
 
 	/** Takes a retry from the retry budget; returns whether there was one. */
 	takeFromBudget(served: ServedRequest, purpose: RetryPurpose, nowMs: number): boolean {
-		const {retryBudget: allowance, fleet} = this.dependencies;
-		return allowance.tryTake(served.inputs.service, purpose, fleet.daemons(nowMs), nowMs);
+		const {retryBudget, fleet} = this.dependencies;
+		return retryBudget.tryTake(served.inputs.service, purpose, fleet.daemons(nowMs), nowMs);
 	}
 
 	/** Restores a reservation whose attempt was not delivered, unless another one was made meanwhile. */
@@ -103,10 +103,10 @@
 
 	/** Describes how much of the retry budget is used, for refusal reasons and logs. */
 	describeBudget(served: ServedRequest): string {
-		const {retryBudget: allowance, fleet, clock} = this.dependencies;
+		const {retryBudget, fleet, clock} = this.dependencies;
 		const nowMs = clock.now();
-		const {firstAttempts: firsts, extraAttempts: repeats} = allowance.attemptsInWindow(served.inputs.service, nowMs);
-		return `${repeats} repeats for ${firsts} requests, ${fleet.daemons(nowMs)} daemons`;
+		const {firstAttempts, extraAttempts} = retryBudget.attemptsInWindow(served.inputs.service, nowMs);
+		return `${extraAttempts} repeats for ${firstAttempts} requests, ${fleet.daemons(nowMs)} daemons`;
 	}
 
 	private returnToBudget(served: ServedRequest, takenAtMs: number): void {
--- a/src/coordination/stated-limits.ts
+++ b/src/coordination/stated-limits.ts
@@ -22,13 +22,13 @@
 const probeAfterMs = 3000;
 /** Age at which a limit that was not stated again is dropped, in milliseconds. */
 const limitMaxAgeMs = 5 * 60_000;
-/** Time for which a choice of senders is cached, in milliseconds: it changes when daemons join or leave. */
-const senderChoiceMaxAgeMs = 100;
+/** Time for which a selection of senders is cached, in milliseconds: it changes when daemons join or leave. */
+const senderSelectionMaxAgeMs = 100;
 /** Time for which a change is gossiped, in milliseconds: eight rounds, since datagrams may be lost. */
 const gossipAfterChangeMs = 2000;
 
 /** Whether this daemon may send to a limited backend server, and how many daemons may. */
-export type SenderChoice = {isSender: boolean; senders: number};
+export type SenderSelection = {isSender: boolean; senders: number};
 
 /** Whether this daemon may send a request to a backend server now. */
 export enum SendPermission {
@@ -54,8 +54,8 @@
 	probes: number;
 	/** When the last probe was sent. */
 	probedAtMs: number;
-	/** The cached choice of senders, and when it was made. */
-	choice: (SenderChoice & {atMs: number}) | undefined;
+	/** The cached selection of senders, and when it was made. */
+	selection: (SenderSelection & {atMs: number}) | undefined;
 };
 
 /** The limits stated by backend servers, as far as one daemon knows them. */
@@ -63,8 +63,8 @@
 	/** Entries by the numeric key of the backend server. */
 	private readonly entries = new Map<number, LimitEntry>();
 
-	/** @param chooseSenders Chooses at most `maxSenders` daemons that send to a backend server. */
-	constructor(private readonly chooseSenders: (backend: number, maxSenders: number, nowMs: number) => SenderChoice) {}
+	/** @param selectSenders Selects at most `maxSenders` daemons that send to a backend server. */
+	constructor(private readonly selectSenders: (backend: number, maxSenders: number, nowMs: number) => SenderSelection) {}
 
 	/** Whether no backend server has stated a limit of late. */
 	get isEmpty(): boolean {
@@ -91,7 +91,7 @@
 			return SendPermission.Allowed;
 		}
 
-		if (nowMs < entry.nextAtMs || !this.senderChoice(key, entry, nowMs).isSender) {
+		if (nowMs < entry.nextAtMs || !this.senderSelection(key, entry, nowMs).isSender) {
 			return SendPermission.Withheld;
 		}
 
@@ -103,7 +103,7 @@
 		const key = backendKey(backendId);
 		const entry = this.entries.get(key);
 		if (entry?.perSecond !== undefined) {
-			const {senders} = this.senderChoice(key, entry, nowMs);
+			const {senders} = this.senderSelection(key, entry, nowMs);
 			if (isProbeDue(entry, nowMs)) {
 				entry.probes++;
 				entry.probedAtMs = nowMs;
@@ -165,16 +165,16 @@
 			nextAtMs: known?.nextAtMs ?? Number.NEGATIVE_INFINITY,
 			probes: 0,
 			probedAtMs: Number.NEGATIVE_INFINITY,
-			choice: known?.perSecond === perSecond ? known?.choice : undefined,
+			selection: known?.perSecond === perSecond ? known?.selection : undefined,
 		});
 	}
 
-	private senderChoice(backend: number, entry: LimitEntry, nowMs: number): SenderChoice {
-		if (!entry.choice || nowMs - entry.choice.atMs > senderChoiceMaxAgeMs) {
-			entry.choice = {...this.chooseSenders(backend, Math.floor(entry.perSecond ?? 0) + extraSenders, nowMs), atMs: nowMs};
+	private senderSelection(backend: number, entry: LimitEntry, nowMs: number): SenderSelection {
+		if (!entry.selection || nowMs - entry.selection.atMs > senderSelectionMaxAgeMs) {
+			entry.selection = {...this.selectSenders(backend, Math.floor(entry.perSecond ?? 0) + extraSenders, nowMs), atMs: nowMs};
 		}
 
-		return entry.choice;
+		return entry.selection;
 	}
 }
 
--- a/src/coordination/topic-follower.ts
+++ b/src/coordination/topic-follower.ts
@@ -137,13 +137,13 @@
 		}
 	}
 
-	/** Returns what this daemon reports to a daemon whose view reaches up to an offset; undefined before the first read. */
+	/** Creates the update for a daemon whose view reaches up to an offset; undefined before the first read. */
 	createUpdateFor(offset: number | undefined, nowMs: number): TopicUpdate | undefined {
 		return this.next === undefined ? undefined : {next: this.next, ageMs: Math.ceil(this.options.viewAge.ageMs(nowMs)), records: this.recentRecords.startingAt(offset)};
 	}
 
 	/**
-	 * Applies what a relay reports of the topic.
+	 * Applies the update that a relay sent for the topic.
 	 *
 	 * @param requestedAtMs When the request to the relay was sent; the relay evaluated its view after that.
 	 */
--- a/src/coordination/topic-read-limits.ts
+++ b/src/coordination/topic-read-limits.ts
@@ -51,9 +51,9 @@
  * @param maximums Upper limits from other requirements on the view.
  */
 export function computeReadLimits(boundMs: number, relayIntervalMs: number, maximums: TopicReadLimits): TopicReadLimits {
-	const carriedMs = Math.max(0, Math.min(maximums.maxReportAgeMs, boundMs - reportCheckIntervalMs - finalReadMs));
+	const maxReportAgeMs = Math.max(0, Math.min(maximums.maxReportAgeMs, boundMs - reportCheckIntervalMs - finalReadMs));
 	// An answer confirms the view as of the time at which the read was sent, so between answers the view gets up to two waits old.
 	const waitMs = Math.max(minWaitMs, Math.min(maximums.waitMs, boundMs - answerTimeoutMs - firstRetryDelayMs - finalReadMs, (boundMs - finalReadMs) / 2));
-	const relayWaitMs = Math.max(minWaitMs, Math.min(maximums.relayWaitMs, waitMs, (carriedMs - relayIntervalMs) / 2));
-	return {waitMs: Math.round(waitMs), relayWaitMs: Math.round(relayWaitMs), maxReportAgeMs: Math.round(carriedMs)};
+	const relayWaitMs = Math.max(minWaitMs, Math.min(maximums.relayWaitMs, waitMs, (maxReportAgeMs - relayIntervalMs) / 2));
+	return {waitMs: Math.round(waitMs), relayWaitMs: Math.round(relayWaitMs), maxReportAgeMs: Math.round(maxReportAgeMs)};
 }
