--- a/src/coordination/fleet/__tests__/fleet-messenger.test.ts
+++ b/src/coordination/fleet/__tests__/fleet-messenger.test.ts
@@ -172,7 +172,7 @@
 		expect(Math.max(...net.countedAdmissions())).toBeLessThan(admitted * 1.35);
 	});
 
-	it('detects that a daemon hears nobody', async () => {
+	it('detects that a daemon hears from nobody', async () => {
 		const net = await startNet(86, 4);
 		const isolated = net.daemons.at(-1)!;
 		for (const other of net.daemons) {
@@ -188,8 +188,8 @@
 		expect(isolated.fleet.hearsMost(net.nowMs)).toBe(true);
 	});
 
-	// Guards against a restarted daemon that hears nobody: a daemon assumes a full mesh until it
-	// hears of many others, and in a large fleet no daemon reports to one that does not ask. A duty
+	// Guards against a restarted daemon that hears from nobody: a daemon assumes a full mesh until
+	// it hears of many others, and in a large fleet no daemon reports to one that does not ask. A duty
 	// holder in that state shrank the pool from 120 engines to 30 with 390 requests in flight, and
 	// reported the usage of 32 requests out of 2,000: `usage decided, requests 17`, 24 and 69 for
 	// three windows in a row.
--- a/src/coordination/fleet/__tests__/stated-limit-updates.test.ts
+++ b/src/coordination/fleet/__tests__/stated-limit-updates.test.ts
@@ -109,7 +109,7 @@
 		expect(backend.arrivals.filter(atMs => atMs >= fromMs).length).toBeGreaterThan(0);
 	}, 60_000);
 
-	it('receives nothing from a daemon that hears few of the others', async () => {
+	it('receives nothing from a daemon that hears from few of the others', async () => {
 		const net = await startNet(6, 4);
 		const [isolated, ...others] = net.daemons;
 		for (const other of others) {
--- a/src/coordination/fleet/fleet-table.ts
+++ b/src/coordination/fleet/fleet-table.ts
@@ -1,5 +1,5 @@
 /**
- * The state of the other daemons, as this daemon last heard it. Up to a dozen daemons form a
+ * The state of the other daemons, as last reported to this daemon. Up to a dozen daemons form a
  * full mesh, in which each one reports to all others. In a larger fleet each daemon reports to
  * the relays of its failure domain. The relays send each other the sums of their failure
  * domains, and answer a report with the sums of all other daemons, so a daemon's traffic grows
@@ -297,7 +297,7 @@
 	private roleFor(nowMs: number): FleetRole {
 		const daemons = this.daemons(nowMs);
 		this.smallSinceMs = daemons <= meshReturnMaxDaemons ? this.smallSinceMs ?? nowMs : undefined;
-		// In a large fleet, no daemon reports to one that does not ask, so a restarted daemon hears nobody at first.
+		// In a large fleet, no daemon reports to one that does not ask, so a restarted daemon hears from nobody at first.
 		// It must go by what relays report: a duty holder that assumed a full mesh released three quarters of the pool.
 		const isSmall = this.role === FleetRole.Mesh
 			? daemons <= meshMaxDaemons && this.reportedDaemons(nowMs) <= meshReturnMaxDaemons
--- a/src/coordination/fleet/peer-counter.ts
+++ b/src/coordination/fleet/peer-counter.ts
@@ -1,6 +1,6 @@
 /**
- * Counts the other daemons that share the limits of accounts, and those whose admissions this
- * daemon does not hear. It covers daemons that start at the same time, that are cut off and that
+ * Counts the other daemons that share the limits of accounts, and those whose admissions are not
+ * reported to this daemon. It covers daemons that start at the same time, that are cut off and that
  * lose their relays: their admissions are unknown and must not be counted as zero.
  */
 import {type SteadyClock} from '../../clock.js';
@@ -13,7 +13,7 @@
 export const reportIntervalMs = 250;
 /** Propagation time of an update to a daemon of each role, in milliseconds, in addition to half a round: directly from a peer, or through up to two relays, each of which adds half a round on average. */
 const propagationMs: Record<FleetRole, number> = {[FleetRole.Mesh]: 50, [FleetRole.Relay]: 200, [FleetRole.Leaf]: 300};
-/** How long after its start a daemon assumes that the listed daemons that it has not heard yet are starting as well, in milliseconds: all daemons hear of each other within a second. After that they count as silent, and later as gone. */
+/** How long after its start a daemon assumes that the listed daemons that it has not heard from yet are starting as well, in milliseconds: all daemons hear of each other within a second. After that they count as silent, and later as gone. */
 const startupMs = 3000;
 
 /** The dependencies of a peer counter. */
@@ -40,12 +40,12 @@
 		const daemons = fleet.daemons(nowMs);
 		const isStartingUp = nowMs - startedAtMs < startupMs;
 		const knownDaemons = isStartingUp ? Math.max(daemons, fleet.known) : daemons;
-		// Listed daemons that a starting daemon never hears may be cut off but still serving, and so may daemons that a new relay does not know.
+		// Listed daemons that a starting daemon never hears from may be cut off but still serving, and so may daemons that a new relay does not know.
 		// The recent maximum keeps them in the count.
 		const shouldRemember = isStartingUp || fleet.roleAt(nowMs) !== FleetRole.Mesh;
 		const maxDaemons = Math.max(knownDaemons, this.recentFleetSize.note(shouldRemember ? knownDaemons : 0, nowMs));
 		const unheardDaemons = knownDaemons - daemons;
-		// If most of the daemons were heard, the others are cut off rather than still starting.
+		// If most of the daemons were heard from, the others are cut off rather than still starting.
 		const unreportedDaemons = unheardDaemons > daemons ? unheardDaemons : 0;
 		const silent = fleet.silent(nowMs);
 		return {
--- a/src/coordination/fleet/relay-selection.ts
+++ b/src/coordination/fleet/relay-selection.ts
@@ -1,7 +1,8 @@
 /**
  * Selects the daemons of a failure domain that relay the reports of the others: the first two
- * responsive ones by name. Every daemon selects them from what it hears itself, so no agreement
- * is needed; while the selections differ, the relay that they have in common hears all daemons.
+ * responsive ones by name. Every daemon selects them from the messages that it receives itself, so
+ * no agreement is needed; while the selections differ, the relay that they have in common
+ * receives the reports of all daemons.
  */
 import {type NamedAddress, type PeerAddress} from '../../protocol/fleet-messages.js';
 
--- a/src/coordination/fleet/sender-selection.ts
+++ b/src/coordination/fleet/sender-selection.ts
@@ -11,7 +11,7 @@
  * @param localName This daemon's name.
  */
 export function selectSenders(fleet: FleetTable, localName: string, backend: number, maxSenders: number, nowMs: number): SenderSelection {
-	// A daemon that hears few of the others would select itself in place of daemons that still send.
+	// A daemon that hears from few of the others would select itself in place of daemons that still send.
 	if (!fleet.hearsMost(nowMs)) {
 		return {isSender: false, senders: 1};
 	}
