--- a/src/cli/front-daemon.ts
+++ b/src/cli/front-daemon.ts
@@ -117,7 +117,7 @@
 			const hasNewResult = Object.keys(changed).length > 0 || needRestart.join(',') !== this.lastNeedRestart;
 			this.lastNeedRestart = needRestart.join(',');
 			if (isSignalled || hasNewResult) {
-				log.info('settings read again.', {isSignalled, changed: JSON.stringify(changed), needRestart: this.lastNeedRestart});
+				log.info('settings reloaded.', {isSignalled, changed: JSON.stringify(changed), needRestart: this.lastNeedRestart});
 			}
 		} catch (error) {
 			log.error('cannot read settings, keeping the last ones.', {error: String(error)});
--- a/src/coordination/duty-runner.ts
+++ b/src/coordination/duty-runner.ts
@@ -115,7 +115,7 @@
 
 		const report = {window, counts};
 		if (await lease.recordUsage(Buffer.from(JSON.stringify(report)), signal)) {
-			log.info('usage decided.', {window, windowMs: usageWindowMs, requests: sumOf(counts)});
+			log.info('usage report of a window committed to the store.', {window, windowMs: usageWindowMs, requests: sumOf(counts)});
 			await this.sendReport(report, signal);
 		}
 	}
@@ -204,7 +204,7 @@
 		this.lastOrders.set(key, {
 			count: order.count, atMs: clock.now(), result, token: holder.token,
 		});
-		log.info('pool ordered.', {
+		log.info('pool size requested from the cloud.', {
 			...order, present, needed: need.replicas, result, token: holder.token,
 		});
 		if (result === DutyResult.Refused && !order.isReclaimable) {
--- a/src/coordination/fleet-controller.ts
+++ b/src/coordination/fleet-controller.ts
@@ -284,12 +284,12 @@
 		this.counters.orders++;
 		try {
 			const status = await sendOrder(vm.url, fenced, () => this.options.lease.tokenAt(readClocks()) === fencingToken);
-			log.info('order sent.', {
+			log.info('engine answered an order.', {
 				vm: vm.name, kind: order.kind, model: order.model, token: fencingToken, status,
 			});
 		} catch (error) {
 			// An unreachable engine must not keep the others from getting their orders.
-			log.warn('no answer to an order.', {vm: vm.name, kind: order.kind, error: String(error)});
+			log.warn('order to an engine not sent or not answered.', {vm: vm.name, kind: order.kind, error: String(error)});
 		}
 	}
 
--- a/src/coordination/fleet/__tests__/fleet-messenger.test.ts
+++ b/src/coordination/fleet/__tests__/fleet-messenger.test.ts
@@ -191,8 +191,8 @@
 	// Guards against a restarted daemon that hears from nobody: a daemon assumes a full mesh until
 	// it hears of many others, and in a large fleet no daemon reports to one that does not ask. A duty
 	// holder in that state shrank the pool from 120 engines to 30 with 390 requests in flight, and
-	// reported the usage of 32 requests out of 2,000: `usage decided, requests 17`, 24 and 69 for
-	// three windows in a row.
+	// reported the usage of 32 requests out of 2,000: `usage report of a window committed to the
+	// store.` with 17, 24 and 69 `requests` for three windows in a row.
 	it.each([
 		{name: 'a relay', index: 0},
 		{name: 'a daemon that is next in line as a relay', index: 8},
--- a/src/coordination/fleet/fleet-table.ts
+++ b/src/coordination/fleet/fleet-table.ts
@@ -286,7 +286,7 @@
 		this.roleCheckedAtMs = nowMs;
 		const role = this.roleFor(nowMs);
 		if (role !== this.role) {
-			log.info('role changed.', {
+			log.info('role of this daemon in the fleet changed.', {
 				from: this.role, to: role, daemons: this.daemons(nowMs), silent: this.silent(nowMs),
 			});
 			this.role = role;
--- a/src/coordination/journal.ts
+++ b/src/coordination/journal.ts
@@ -91,7 +91,7 @@
 			kind: JournalRecordKind.Release, id, account, key,
 		});
 		if (appended instanceof Error) {
-			log.warn('intent not released, its key stays taken.', {intent: id, error: String(appended)});
+			log.warn('release of an intent record not confirmed, its idempotency key may stay taken.', {intent: id, error: String(appended)});
 		}
 	}
 
@@ -122,7 +122,7 @@
 			await delay(readBackPollMs);
 		}
 
-		log.warn('intent not read back, abandoning the call.', {key, account});
+		log.warn('intent record not read back from the platform log, the call will not be sent.', {key, account});
 		return ClaimOutcome.Abandoned;
 	}
 
--- a/src/coordination/serving/stream-registry.ts
+++ b/src/coordination/serving/stream-registry.ts
@@ -95,7 +95,7 @@
 	/** Asks another engine to continue a stream. */
 	private startTakeover(stream: ForwardedStream, source: Backend, cause: InterruptCause, nowMs: number): void {
 		if (this.reserve(stream, source, cause, nowMs)) {
-			log.info('stream is handed over to another engine.', {cause, ...toLogContext(stream, source, nowMs)});
+			log.info('takeover of the stream by another engine started.', {cause, ...toLogContext(stream, source, nowMs)});
 			const abort = new AbortController();
 			stream.served.excluded.add(source.id);
 			stream.takeover = {
@@ -185,7 +185,7 @@
 		const {id} = stream.served.inputs.request;
 		const copied = await engines.copy(id, source, target, signal);
 		const moved = copied.run ? await engines.move(id, source, target, signal) : copied;
-		log.info('stream move attempted.', {
+		log.info('attempt to move the stream to another engine ended.', {
 			request: id, from: source.id, to: target.id, events: stream.events, copied: copied.result, moved: copied.run && moved.result,
 		});
 		if (copied.run && !moved.run) {
@@ -199,7 +199,7 @@
 	private release(run: MovedRun, source: Backend): void {
 		void this.dependencies.engines.release(run, source, this.dependencies.signal).catch((error: unknown) => {
 			// The source engine is leaving, which releases the copy too.
-			log.debug('copy not released.', {from: source.id, error: String(error)});
+			log.debug('release of an unused copy of a run failed.', {from: source.id, error: String(error)});
 		});
 	}
 }
--- a/src/coordination/stated-limits.ts
+++ b/src/coordination/stated-limits.ts
@@ -78,7 +78,7 @@
 			const previous = this.entries.get(key);
 			this.setEntry(key, perSecond, nowMs, nowMs);
 			if (previous?.perSecond !== perSecond) {
-				log.info('limit stated.', {backend: backendId, perSecond, before: previous?.perSecond});
+				log.info('request limit stated by a backend server changed.', {backend: backendId, perSecond, before: previous?.perSecond});
 			}
 		}
 	}
