--- a/model/lease.pml
+++ b/model/lease.pml
@@ -1,5 +1,5 @@
 /*
- * The controller lease (src/state/lease-table.ts, src/coordination/lease.ts): gateways
+ * The controller lease (src/state/lease-table.ts, src/coordination/controller-lease.ts): gateways
  * append claims and renewals that name the record they follow; a record counts only if
  * the record that it names is the last one that counted. The holder issues orders until
  * LEASE after it sent the last of its records that counted; others may claim the lease
--- a/soak/soak.ts
+++ b/soak/soak.ts
@@ -222,8 +222,8 @@
 /** Checks every guarantee against the requests that clients and replicas recorded. */
 function createReport({seed, faults, cluster, records, recoveredAtMs}: {seed: number; faults: string[]; cluster: SoakCluster; records: RequestRecord[]; recoveredAtMs: number}): SoakReport {
 	const runCounts = new Map<string, number>();
-	for (const {id, hasRun: ran} of cluster.replicas.flatMap(replica => replica.received)) {
-		runCounts.set(id, (runCounts.get(id) ?? 0) + (ran ? 1 : 0));
+	for (const {id, hasRun} of cluster.replicas.flatMap(replica => replica.received)) {
+		runCounts.set(id, (runCounts.get(id) ?? 0) + (hasRun ? 1 : 0));
 	}
 
 	const violations: string[] = [];
--- a/src/cli/commands/front.ts
+++ b/src/cli/commands/front.ts
@@ -72,9 +72,9 @@
 
 /** Starts the diagnostics server on the metrics port; loads its libraries last, since they take longer than the rest of the start. */
 async function startDiagnosticsServer(daemon: FrontDaemon, settings: FrontSettings): Promise<DiagnosticsServer> {
-	const {createMetricsRegistry: createRegistry} = await import('../../transport/metrics-registry.js');
+	const {createMetricsRegistry} = await import('../../transport/metrics-registry.js');
 	const servingMetrics = await import('../../coordination/serving/serving-metrics.js');
-	const registry = createRegistry();
+	const registry = createMetricsRegistry();
 	daemon.useMetrics(new servingMetrics.ServingMetrics(registry, {openRequests: () => daemon.openRequests, views: () => daemon.views}));
 	return DiagnosticsServer.open({host: settings.host, port: settings.metricsPort}, registry, () => daemon.dump());
 }
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,7 +1,7 @@
 /**
  * The parts that the JSON settings of all processes share, and the loader that checks them.
  * A process learns its addresses and failure domain only from its settings. The settings
- * of a gateway are in `gateway-settings.ts`, those of the stand-ins in `standins/options.ts`.
+ * of a gateway are in `gateway-settings.ts`, those of the stand-ins in `standins/settings.ts`.
  */
 import {readFileSync} from 'node:fs';
 import {type ValidateFunction} from 'ajv';
--- a/src/state/__tests__/models.test.ts
+++ b/src/state/__tests__/models.test.ts
@@ -42,13 +42,13 @@
 			model: 'lease.pml', name: 'finds gateways that claim the lease without waiting for its expiry', defines: ['-DNO_WAIT'], errors: 1,
 		},
 		{
-			model: 'belief.pml', name: 'no API key is accepted longer than the revocation bound after its revocation', defines: [], errors: 0,
+			model: 'view-age.pml', name: 'no API key is accepted longer than the revocation bound after its revocation', defines: [], errors: 0,
 		},
 		{
-			model: 'belief.pml', name: 'finds a view age that counts from the arrival of the answer', defines: ['-DAGE_FROM_ANSWER'], errors: 1,
+			model: 'view-age.pml', name: 'finds a view age that counts from the arrival of the answer', defines: ['-DAGE_FROM_ANSWER'], errors: 1,
 		},
 		{
-			model: 'belief.pml', name: 'finds a clock that stops while the machine is suspended', defines: ['-DMONOTONIC_ONLY'], errors: 1,
+			model: 'view-age.pml', name: 'finds a clock that stops while the machine is suspended', defines: ['-DMONOTONIC_ONLY'], errors: 1,
 		},
 		{
 			model: 'relayed.pml', name: 'no API key is accepted too long by a daemon whose view is confirmed by a relay', defines: [], errors: 0,
--- a/src/state/backend-table.ts
+++ b/src/state/backend-table.ts
@@ -60,13 +60,13 @@
 
 		const entry = isNew ? this.add(backend, nowMs) : latest;
 		this.update(entry, backend);
-		const beganToLeave = backend.state === BackendState.Draining && entry.leavingSinceMs === undefined;
-		if (beganToLeave) {
+		const hasStartedLeaving = backend.state === BackendState.Draining && entry.leavingSinceMs === undefined;
+		if (hasStartedLeaving) {
 			entry.leavingSinceMs = nowMs;
 			entry.leavesAtMs = nowMs + (backend.leavesInMs ?? this.bounds.drainMs);
 		}
 
-		return {entry, hasStartedLeaving: beganToLeave, isNew};
+		return {entry, hasStartedLeaving, isNew};
 	}
 
 	/** Records that the entry of a name was removed from the platform's list. */
--- a/src/state/lease-table.ts
+++ b/src/state/lease-table.ts
@@ -2,7 +2,7 @@
  * The controller lease, rebuilt from the `lease` stream. A record is accepted only if its
  * base is the last accepted record, so acceptance depends on log order alone. Expiry is not
  * decided here: the holder stops acting, and others claim the lease, by their own monotonic
- * clocks (`coordination/lease.ts`).
+ * clocks (`coordination/controller-lease.ts`).
  */
 import {type LeaseRecord, LeaseRecordKind} from '../protocol/lease-records.js';
 
--- a/src/transport/__tests__/backend-connection-pool.test.ts
+++ b/src/transport/__tests__/backend-connection-pool.test.ts
@@ -37,9 +37,9 @@
 	};
 }
 
-async function readText(pool: BackendConnectionPool, backend: Backend, isRepeatable = true): Promise<string> {
+async function readText(pool: BackendConnectionPool, backend: Backend, isRetryable = true): Promise<string> {
 	const response = await sendBackendRequest(pool, {
-		backend, method: 'GET', path: '/x', headers: ['Host', 'h'], body: undefined, isRetryable: isRepeatable, connectTimeoutMs: 500, signal: AbortSignal.timeout(3000),
+		backend, method: 'GET', path: '/x', headers: ['Host', 'h'], body: undefined, isRetryable, connectTimeoutMs: 500, signal: AbortSignal.timeout(3000),
 	});
 	const body = await response.read(1000);
 	return Buffer.from(body).toString();
--- a/src/transport/backend-connection-pool.ts
+++ b/src/transport/backend-connection-pool.ts
@@ -207,12 +207,12 @@
  */
 export async function sendBackendRequest(pool: BackendConnectionPool, options: BackendRequest): Promise<BackendResponse> {
 	const {
-		backend, method, path, headers, body, isRetryable: isRepeatable, connectTimeoutMs: connectMs, signal,
+		backend, method, path, headers, body, isRetryable, connectTimeoutMs, signal,
 	} = options;
 	signal.throwIfAborted();
 	const hasBody = body !== undefined && (body.length > 0 || (method !== 'GET' && method !== 'HEAD'));
 	const request = startRequest({
-		agent: pool.selectAgent(backend, isRepeatable, performance.now()), host: backend.host, port: backend.port, method, path, setHost: false,
+		agent: pool.selectAgent(backend, isRetryable, performance.now()), host: backend.host, port: backend.port, method, path, setHost: false,
 		headers: hasBody ? [...headers, 'Content-Length', String(body.length)] : headers,
 	});
 	let isConnected = false;
@@ -231,8 +231,8 @@
 		}
 
 		const timer = setTimeout(() => {
-			request.destroy(new ConnectError(`${backend.host}:${backend.port} did not accept a connection in ${connectMs} ms`));
-		}, connectMs);
+			request.destroy(new ConnectError(`${backend.host}:${backend.port} did not accept a connection in ${connectTimeoutMs} ms`));
+		}, connectTimeoutMs);
 		socket.once('connect', () => {
 			isConnected = true;
 			clearTimeout(timer);
