--- a/model/lease.pml
+++ b/model/lease.pml
@@ -1,10 +1,11 @@
 /*
- * The controller lease (src/state/lease-table.ts, src/coordination/controller-lease.ts): gateways
- * append claims and renewals that name the record they follow; a record counts only if
- * the record that it names is the last one that counted. The holder issues orders until
- * LEASE after it sent the last of its records that counted; others may claim the lease
- * LEASE after they read the last record that counted. A record may be appended any time
- * after it was sent, time may pass between any two steps (a pause), and reads lag behind.
+ * The controller lease (src/state/lease-table.ts, src/coordination/controller-lease.ts):
+ * gateways append claims and renewals that name the record they follow; a record counts
+ * only if the record that it names is the last one that counted. The holder issues orders
+ * until LEASE after it sent the last of its records that counted; others may claim the
+ * lease LEASE after they read the last record that counted. A record may be appended any
+ * time after it was sent, time may pass between any two steps (a pause), and reads lag
+ * behind.
  *
  * Property: no gateway issues an order under a lower fencing token than one already used.
  *
--- a/soak/clients.ts
+++ b/soak/clients.ts
@@ -11,7 +11,7 @@
 	sentAtMs: number;
 	/** HTTP status, undefined when no answer began. */
 	status: number | undefined;
-	/** Whether the answer carries the replica's signature. */
+	/** Whether the answer carries the replica's seal. */
 	hasReplicaSeal: boolean;
 	body: string;
 	/** Whether the answer arrived to its end. */
@@ -101,7 +101,7 @@
 	});
 }
 
-/** Returns what is wrong with a complete success by itself: a missing signature or a body other than the replica's. */
+/** Returns what is wrong with a complete success by itself: a missing seal or a body other than the replica's. */
 export function findAnswerViolation(record: RequestRecord): string | undefined {
 	const {status, isComplete, hasReplicaSeal, body, kind, id} = record;
 	if (status === undefined || status >= 300 || !isComplete) {
@@ -109,7 +109,7 @@
 	}
 
 	if (!hasReplicaSeal) {
-		return 'a success without the replica\'s signature';
+		return 'a success without the replica\'s seal';
 	}
 
 	const isStream = kind === 'stream' || kind === 'once';
--- a/src/bench/calls.ts
+++ b/src/bench/calls.ts
@@ -96,14 +96,14 @@
 /** Makes one non-idempotent call to a plain service and counts its outcome. */
 export async function callService({gateway, apiKey, service, key}: ServiceCall, counts: OutcomeCounts): Promise<void> {
 	try {
-		const answer = await requestJson({
+		const response = await requestJson({
 			method: 'POST',
 			url: `${gateway}/v1/services/${service}/confirm`,
 			payload: {key},
 			headers: {authorization: `Bearer ${apiKey}`, 'idempotency-key': key, 'x-sesametally-idempotent': 'false'},
 		});
-		const outcome = answer.headers['x-sesametally-outcome'];
-		if (answer.statusCode === 200) {
+		const outcome = response.headers['x-sesametally-outcome'];
+		if (response.statusCode === 200) {
 			counts.whole++;
 		} else if (outcome === 'not-run') {
 			counts.refused++;
--- a/src/cli/front-container.ts
+++ b/src/cli/front-container.ts
@@ -118,7 +118,7 @@
 	registerFactory(QuarantineRecord, resolver => new QuarantineRecord({
 		store, quarantine: resolver.resolve(Quarantine), lease: resolver.resolve(DutyLease), clock,
 	}));
-	registerFactory(StatedLimits, resolver => new StatedLimits((backend, most, nowMs) => selectSenders(resolver.resolve(FleetTable), settings.name, backend, most, nowMs)));
+	registerFactory(StatedLimits, resolver => new StatedLimits((backend, maxSenders, nowMs) => selectSenders(resolver.resolve(FleetTable), settings.name, backend, maxSenders, nowMs)));
 	registerFactory(CrashWatch, resolver => new CrashWatch({backends: resolver.resolve(BackendTable), quarantine: resolver.resolve(Quarantine), clock}));
 	registerFactory(Dispatcher, resolver => new Dispatcher({
 		dialect,
--- a/src/protocol/fleet-messages.ts
+++ b/src/protocol/fleet-messages.ts
@@ -94,7 +94,7 @@
 	wantsUses: boolean;
 	/** Whether the view should include usage counts, because the sender holds the singleton duties. */
 	wantsUsage: boolean;
-	/** Number of the sender's round; the view repeats it. */
+	/** Number of the sender's reporting round; the view repeats it. */
 	round: number;
 	/** Offsets of the first records that the sender's views of the store's topics lack. */
 	offsets: Partial<Record<GossipedTopic, number>>;
--- a/src/protocol/platform.ts
+++ b/src/protocol/platform.ts
@@ -15,7 +15,7 @@
 	/** Whether the whole deployment is starting for the first time. */
 	isFirstStart: boolean;
 	host: string;
-	/** The address at which callers connect. */
+	/** The address at which clients connect. */
 	callers: Listen;
 	/** The address at which the load balancer queries the daemon's readiness. */
 	readiness: Listen;
@@ -144,11 +144,11 @@
 	orderPool(holder: DutyHolder, order: PoolOrder, signal: AbortSignal): Promise<DutyResult>;
 };
 
-/** Reads and writes the headers of callers and backend servers in the platform's format. */
+/** Reads and writes the headers of clients and backend servers in the platform's format. */
 export type Dialect = {
 	/** The path at which the load balancer queries readiness. */
 	readonly readinessPath: string;
-	/** Reads a caller's request; returns undefined when a header that may occur only once is repeated. */
+	/** Reads a client's request; returns undefined when a header that may occur only once is repeated. */
 	readRequest(method: string, path: string, rawHeaders: string[]): CallerRequest | undefined;
 	/** Returns the headers of an attempt at one backend server, as alternating names and values. */
 	backendHeaders(request: CallerRequest, attempt: AttemptHeaders): string[];
--- a/src/protocol/serving.ts
+++ b/src/protocol/serving.ts
@@ -1,6 +1,6 @@
 /**
  * The types of the serving path: routes, services and client accounts from the operators'
- * configuration, backend servers, callers' requests and backend servers' answers. A platform
+ * configuration, backend servers, clients' requests and backend servers' answers. A platform
  * adapter translates the platform's own format to and from these types.
  */
 
@@ -129,7 +129,7 @@
 /** A part of a request's prompt. All parts but the last may be shared with other requests. */
 export type PromptPart = {id: string; tokens: number};
 
-/** The parts of a caller's request by which the daemon decides how to serve it. */
+/** The parts of a client's request by which the daemon decides how to serve it. */
 export type CallerRequest = {
 	/** An id that is unique to one attempt of the client; the backend server's answer repeats it. */
 	id: string;
--- a/src/state/lease-table.ts
+++ b/src/state/lease-table.ts
@@ -40,7 +40,7 @@
 		this.lease = undefined;
 	}
 
-	/** Takes the last accepted record as certain although no later record confirms it; to be called when no record has been written for several lease durations. */
+	/** Treats the last accepted record as certain although no later record confirms it; to be called when no record has been written for several lease durations. */
 	assumeCertain(): void {
 		this.isCertain = true;
 	}
--- a/src/testing/fake-store.ts
+++ b/src/testing/fake-store.ts
@@ -79,15 +79,15 @@
 	}
 
 	/**
-	 * Appends a record; with `at`, only if the topic ends at that offset.
+	 * Appends a record; with `expectedEnd`, only if the topic ends at that offset.
 	 *
 	 * @throws {StateError} When the store is down.
 	 * @throws {UnknownAppendError} When answers are set to be lost; the record was appended.
 	 */
-	async append(topic: Topic, record: {key: string; value: Uint8Array}, at: number | undefined): Promise<AppendResult> {
+	async append(topic: Topic, record: {key: string; value: Uint8Array}, expectedEnd: number | undefined): Promise<AppendResult> {
 		this.throwIfDown();
 		const records = this.getRecords(topic);
-		if (at !== undefined && at !== records.length) {
+		if (expectedEnd !== undefined && expectedEnd !== records.length) {
 			return {kind: 'conflict', end: records.length};
 		}
 
--- a/src/testing/stack.ts
+++ b/src/testing/stack.ts
@@ -42,8 +42,8 @@
  */
 async function isListening(settingsFile: string): Promise<boolean> {
 	const {listen} = JSON.parse(readFileSync(settingsFile, 'utf8')) as {listen: {host: string; port: number}};
-	const answer = await requestJson({method: 'GET', url: `http://${listen.host}:${listen.port}/debug/state`, timeoutMs: 500});
-	return answer.statusCode > 0;
+	const response = await requestJson({method: 'GET', url: `http://${listen.host}:${listen.port}/debug/state`, timeoutMs: 500});
+	return response.statusCode > 0;
 }
 
 /**
@@ -133,11 +133,11 @@
 	const changes = [{path: 'presets', payload: {preset}}, {path: 'activate', payload: {name: preset.name}}];
 	for (const {path: action, payload} of changes) {
 		// eslint-disable-next-line no-await-in-loop -- a preset must be published before it can be activated.
-		const answer = await requestJson<{accepted?: boolean}>({
+		const response = await requestJson<{accepted?: boolean}>({
 			method: 'POST', url: `${adminUrl}/admin/${action}`, payload, headers, timeoutMs: 20_000,
 		});
-		if (answer.body.accepted !== true) {
-			throw new Error(`${action} answered ${answer.statusCode}: ${JSON.stringify(answer.body)}`);
+		if (response.body.accepted !== true) {
+			throw new Error(`${action} answered ${response.statusCode}: ${JSON.stringify(response.body)}`);
 		}
 	}
 }
--- a/src/transport/__tests__/backend-connection-pool.test.ts
+++ b/src/transport/__tests__/backend-connection-pool.test.ts
@@ -108,9 +108,9 @@
 	});
 
 	it('does not reuse a connection that sent more bytes than its response', async () => {
-		const answer = `${head}Content-Length: 2\r\nKeep-Alive: timeout=5\r\n\r\nok`;
+		const response = `${head}Content-Length: 2\r\nKeep-Alive: timeout=5\r\n\r\nok`;
 		const backend = await startBackend((socket, requests) => {
-			socket.write(requests === 1 ? answer + answer.replace('ok', 'no') : answer);
+			socket.write(requests === 1 ? response + response.replace('ok', 'no') : response);
 		});
 		const pool = new BackendConnectionPool();
 		for (let round = 0; round < 3; round++) {
@@ -162,8 +162,8 @@
 		});
 		const pool = new BackendConnectionPool();
 		pool.recordReuseFailure(performance.now());
-		const answers = await Promise.all(Array.from({length: 20}, async () => readText(pool, backend, false)));
-		expect(answers).toEqual(answers.map(() => 'ok'));
+		const bodies = await Promise.all(Array.from({length: 20}, async () => readText(pool, backend, false)));
+		expect(bodies).toEqual(bodies.map(() => 'ok'));
 		pool.destroy();
 	});
 
--- a/src/transport/front-server.ts
+++ b/src/transport/front-server.ts
@@ -19,7 +19,7 @@
 const timeoutCheckIntervalMs = 1000;
 /** Time by which the server keeps an idle connection beyond the configured timeout, in milliseconds, so that clients stop reusing it before the server closes it. */
 const keepAliveMarginMs = 1000;
-/** Most bytes of request bodies buffered at once over all requests: a seventh of the memory of the smallest daemon. */
+/** Maximum total size of the request bodies buffered at once, in bytes: a seventh of the memory of the smallest daemon. */
 const maxBufferedBytes = 48 * 1024 * 1024;
 /** Retry-After of a stopping daemon, in seconds; short, since the client's next connection reaches another daemon. */
 const stoppingRetryAfterSeconds = '0.05';
--- a/src/transport/raw-client.ts
+++ b/src/transport/raw-client.ts
@@ -24,7 +24,7 @@
 /** A response of any status. */
 export type RawResponse = {statusCode: number; body: Uint8Array};
 
-/** Most idle connections that one client keeps open. */
+/** Maximum number of idle connections that one client keeps open. */
 const maxIdleConnections = 4;
 /** Time after which an idle connection is closed, in milliseconds. */
 const idleTimeoutMs = 10_000;
@@ -43,8 +43,8 @@
 	 *
 	 * @throws {TransportError} When no complete response arrives; the request may have been executed.
 	 */
-	async send(call: RawRequest): Promise<RawResponse> {
-		const {method, path, headers, body, timeoutMs, signal} = call;
+	async send(request: RawRequest): Promise<RawResponse> {
+		const {method, path, headers, body, timeoutMs, signal} = request;
 		const requestName = `${method} ${path.split('?')[0]}`;
 		const startedAtMs = performance.now();
 		const pending = Wreck.request(method, this.baseUrl + path, {headers, payload: body && Buffer.from(body), agent: this.agent});
