--- a/model/quarantine.pml
+++ b/model/quarantine.pml
@@ -1,6 +1,6 @@
 /*
  * What daemons know of the backend servers that crashed under one request. Each daemon
- * tells the others which servers crashed and when a run of the request last completed;
+ * reports to the others which servers crashed and when a run of the request last completed;
  * messages may be duplicated, lost and delayed, and receivers pass them on. All times are
  * those of the events themselves, as the ages in the messages tell them.
  *
--- a/src/transport/__tests__/raw-client.test.ts
+++ b/src/transport/__tests__/raw-client.test.ts
@@ -32,7 +32,7 @@
 			server.listen(0, '127.0.0.1', resolve);
 		});
 		const client = new RawClient(`http://127.0.0.1:${(server.address() as AddressInfo).port}`);
-		const call = client.send({method: 'GET', path: '/', timeoutMs});
-		await (isComplete ? expect(call).resolves.toMatchObject({statusCode: 200}) : expect(call).rejects.toThrow('got no response on a new connection'));
+		const response = client.send({method: 'GET', path: '/', timeoutMs});
+		await (isComplete ? expect(response).resolves.toMatchObject({statusCode: 200}) : expect(response).rejects.toThrow('got no response on a new connection'));
 	});
 });
