--- a/src/cli/front-container.ts
+++ b/src/cli/front-container.ts
@@ -167,7 +167,7 @@
 		maxRelayAgeMs: () => isLeaf(resolver) ? readBackendsLimits().maxReportAgeMs : 0,
 	}));
 	registerFactory(BoundsRecord, resolver => new BoundsRecord({
-		store, quota: resolver.resolve(QuotaLedger), lease: resolver.resolve(DutyLease), clock, roundMs: reportIntervalMs,
+		store, quota: resolver.resolve(QuotaLedger), lease: resolver.resolve(DutyLease), clock, reportIntervalMs,
 	}));
 	registerFactory(FleetMessenger, resolver => new FleetMessenger({
 		settings,
--- a/src/cli/front-daemon.ts
+++ b/src/cli/front-daemon.ts
@@ -273,6 +273,6 @@
 
 		const nowMs = this.clock.now();
 		const fleet = this.container.resolve(FleetTable);
-		await this.container.resolve(DutyLease).step({rank: fleet.rank(nowMs), isMajorityResponsive: fleet.hearsMost(nowMs), startedAtMs: this.startedAtMs}, this.signal);
+		await this.container.resolve(DutyLease).step({rank: fleet.rank(nowMs), isMajorityResponsive: fleet.isMajorityResponsive(nowMs), startedAtMs: this.startedAtMs}, this.signal);
 	}
 }
--- a/src/coordination/fleet/__fixtures__/test-net.ts
+++ b/src/coordination/fleet/__fixtures__/test-net.ts
@@ -78,7 +78,7 @@
 		this.topics = {[Topic.Config]: follow(Topic.Config, []), [Topic.Backends]: follow(Topic.Backends, this.backendsSeen)};
 		this.lease = new DutyLease(net.store, incarnation, 3000, clock);
 		this.bounds = new BoundsRecord({
-			store: net.store, quota: this.quota, lease: this.lease, clock, roundMs: reportIntervalMs,
+			store: net.store, quota: this.quota, lease: this.lease, clock, reportIntervalMs,
 		});
 		this.quarantine = new Quarantine(nowMs => this.lease.tokenAt(nowMs) !== undefined);
 		this.quarantineRecord = new QuarantineRecord({
--- a/src/coordination/fleet/__tests__/fleet-messenger.test.ts
+++ b/src/coordination/fleet/__tests__/fleet-messenger.test.ts
@@ -32,7 +32,7 @@
 		expect(net.roles()).toEqual(roles);
 		expect(net.daemons.map(daemon => daemon.fleet.daemons(net.nowMs))).toEqual(net.daemons.map(() => count));
 		expect(net.daemons.map(daemon => daemon.fleet.silent(net.nowMs))).toEqual(net.daemons.map(() => 0));
-		expect(net.daemons.every(daemon => daemon.fleet.hearsMost(net.nowMs))).toBe(true);
+		expect(net.daemons.every(daemon => daemon.fleet.isMajorityResponsive(net.nowMs))).toBe(true);
 	});
 
 	it.each([
@@ -181,11 +181,11 @@
 
 		net.run(3000);
 		expect(isolated.fleet.silent(net.nowMs)).toBeGreaterThan(80);
-		expect(isolated.fleet.hearsMost(net.nowMs)).toBe(false);
+		expect(isolated.fleet.isMajorityResponsive(net.nowMs)).toBe(false);
 		net.cuts.clear();
 		net.run(4000);
 		expect(isolated.fleet.silent(net.nowMs)).toBe(0);
-		expect(isolated.fleet.hearsMost(net.nowMs)).toBe(true);
+		expect(isolated.fleet.isMajorityResponsive(net.nowMs)).toBe(true);
 	});
 
 	// Guards against a restarted daemon that hears from nobody: a daemon assumes a full mesh until
--- a/src/coordination/fleet/__tests__/fleet-table.test.ts
+++ b/src/coordination/fleet/__tests__/fleet-table.test.ts
@@ -44,24 +44,24 @@
 
 	it.each([
 		{
-			afterMs: 500, daemons: 2, silent: 0, hearsMost: true, targets: 1,
+			afterMs: 500, daemons: 2, silent: 0, isMajorityResponsive: true, targets: 1,
 		},
 		{
-			afterMs: 5000, daemons: 2, silent: 1, hearsMost: false, targets: 1,
+			afterMs: 5000, daemons: 2, silent: 1, isMajorityResponsive: false, targets: 1,
 		},
 		{
-			afterMs: 30_000, daemons: 2, silent: 0, hearsMost: true, targets: 0,
+			afterMs: 30_000, daemons: 2, silent: 0, isMajorityResponsive: true, targets: 0,
 		},
 		{
-			afterMs: 70_000, daemons: 1, silent: 0, hearsMost: true, targets: 0,
+			afterMs: 70_000, daemons: 1, silent: 0, isMajorityResponsive: true, targets: 0,
 		},
-	])('counts and addresses a daemon after $afterMs ms of silence', ({afterMs, daemons, silent, hearsMost, targets}) => {
+	])('counts and addresses a daemon after $afterMs ms of silence', ({afterMs, daemons, silent, isMajorityResponsive, targets}) => {
 		const table = createTable();
 		table.noteReport(report({inFlight: [1, 7]}), 1000);
 		const nowMs = 1000 + afterMs;
 		expect(table.daemons(nowMs)).toBe(daemons);
 		expect(table.silent(nowMs)).toBe(silent);
-		expect(table.hearsMost(nowMs)).toBe(hearsMost);
+		expect(table.isMajorityResponsive(nowMs)).toBe(isMajorityResponsive);
 		expect(table.addresses(false, nowMs)).toHaveLength(targets);
 		expect(table.addresses(true, nowMs)).toHaveLength(1);
 		expect(table.inFlight(1, nowMs)).toBe(afterMs <= 1000 ? 7 : 0);
--- a/src/coordination/fleet/bounds-record.ts
+++ b/src/coordination/fleet/bounds-record.ts
@@ -30,7 +30,7 @@
 export class BoundsRecord {
 	private written: {atMs: number; accounts: Record<string, WindowBound>} | undefined;
 
-	constructor(private readonly parts: {store: Store; quota: QuotaLedger; lease: DutyLease; clock: SteadyClock; roundMs: number}) {}
+	constructor(private readonly parts: {store: Store; quota: QuotaLedger; lease: DutyLease; clock: SteadyClock; reportIntervalMs: number}) {}
 
 	/**
 	 * Writes the record if this daemon holds the duties and a write is due.
@@ -38,14 +38,14 @@
 	 * @throws {StateError} When the store does not accept the record.
 	 */
 	async save(signal: AbortSignal): Promise<void> {
-		const {quota, lease, clock, store, roundMs} = this.parts;
+		const {quota, lease, clock, store, reportIntervalMs} = this.parts;
 		const nowMs = clock.now();
 		if (lease.tokenAt(nowMs) === undefined) {
 			this.written = undefined;
 			return;
 		}
 
-		const accounts = this.isDue(nowMs) ? quota.boundsToStore(roundMs, nowMs) : undefined;
+		const accounts = this.isDue(nowMs) ? quota.boundsToStore(reportIntervalMs, nowMs) : undefined;
 		if (accounts) {
 			const record: WrittenBounds = {atMs: clock.wallTimeMs(), accounts};
 			await store.append(Topic.Members, {key: boundsKey, value: Buffer.from(JSON.stringify(record))}, undefined, signal);
--- a/src/coordination/fleet/fleet-table.ts
+++ b/src/coordination/fleet/fleet-table.ts
@@ -172,7 +172,7 @@
 	}
 
 	/** Whether at most half of the other daemons are silent; true if there are no others. */
-	hearsMost(nowMs: number): boolean {
+	isMajorityResponsive(nowMs: number): boolean {
 		const {daemons, silent} = this.daemonCounts(nowMs);
 		return daemons - silent >= silent;
 	}
--- a/src/coordination/fleet/sender-selection.ts
+++ b/src/coordination/fleet/sender-selection.ts
@@ -12,7 +12,7 @@
  */
 export function selectSenders(fleet: FleetTable, localName: string, backend: number, maxSenders: number, nowMs: number): SenderSelection {
 	// A daemon that hears from few of the others would select itself in place of daemons that still send.
-	if (!fleet.hearsMost(nowMs)) {
+	if (!fleet.isMajorityResponsive(nowMs)) {
 		return {isSender: false, senders: 1};
 	}
 
