--- a/src/coordination/chunk-sequencer.ts
+++ b/src/coordination/chunk-sequencer.ts
@@ -1,25 +1,25 @@
 /**
- * Puts the chunks of one run back in order by their sequence numbers. Between an engine
- * and the gateway chunks may come late, out of order or twice.
+ * Reorders the chunks of one run by their sequence numbers. Chunks from an engine may
+ * arrive late, out of order or more than once.
  */
 import {type EngineChunk} from '../protocol/engine-api.js';
 import {CoordinationError} from './errors.js';
 
-/** Chunks held for one run while an earlier one is missing; more than this is a broken run. */
+/** Maximum number of chunks buffered for one run while an earlier one is missing; beyond it the run fails. */
 export const maxBufferedChunks = 1024;
 
 /** The reorder buffer of one run. */
 export class ChunkSequencer {
 	private readonly buffered = new Map<number, EngineChunk>();
 
-	/** @param next The sequence number that is due first. */
+	/** @param next The sequence number of the first chunk to return. */
 	constructor(private next: number) {}
 
 	/**
-	 * Takes a chunk in whatever order it came.
+	 * Accepts a chunk in order of arrival.
 	 *
-	 * @returns The chunks now due, in order; repeats are dropped.
-	 * @throws {CoordinationError} When too many chunks wait for a missing one.
+	 * @returns The chunks that are now complete up to a gap, in order; duplicates are dropped.
+	 * @throws {CoordinationError} When more than {@link maxBufferedChunks} chunks wait for a missing one.
 	 */
 	accept(chunk: EngineChunk): EngineChunk[] {
 		if (chunk.seq < this.next) {
--- a/src/coordination/cloud-client.ts
+++ b/src/coordination/cloud-client.ts
@@ -1,6 +1,6 @@
 /**
- * Calls of the controller to the cloud API (see `protocol/cloud-api.ts`). Each order is
- * written only if its sender may still act once the connection is open.
+ * The controller's client for the cloud API (see `protocol/cloud-api.ts`). Once the
+ * connection for an order is open, the order is sent only if the controller may still act.
  */
 import {type Price, type VmEntry, type VmOrder} from '../protocol/cloud-api.js';
 import {fetchJson, requestJson} from '../transport/http-client.js';
@@ -8,24 +8,24 @@
 
 const timeoutMs = 3000;
 
-/** The cloud had no capacity, or was not reached, for a start. */
+/** The cloud API refused to start a VM. */
 export class StartRefusedError extends CoordinationError {}
 
-/** The cloud API at one address. */
+/** A client for the cloud API at one address. */
 export class CloudClient {
 	constructor(
 		private readonly url: string,
 		private readonly mayStillSend: () => boolean,
 	) {}
 
-	/** Every VM not yet gone. */
+	/** Lists every VM that is not yet gone. */
 	async listVms(signal: AbortSignal): Promise<VmEntry[]> {
 		return fetchJson<VmEntry[]>({
 			method: 'GET', url: `${this.url}/vms`, timeoutMs, signal,
 		});
 	}
 
-	/** What VMs cost. */
+	/** Returns the prices of VMs. */
 	async prices(signal: AbortSignal): Promise<Price[]> {
 		return fetchJson<Price[]>({
 			method: 'GET', url: `${this.url}/prices`, timeoutMs, signal,
@@ -33,9 +33,9 @@
 	}
 
 	/**
-	 * Orders a VM.
+	 * Orders the start of a VM.
 	 *
-	 * @throws {StartRefusedError} When there is no capacity.
+	 * @throws {StartRefusedError} When the cloud API refuses, for example for lack of capacity.
 	 * @throws {TransportError} When the answer was lost; the same order may be sent again.
 	 */
 	async startVm(order: VmOrder): Promise<VmEntry> {
@@ -43,7 +43,7 @@
 			method: 'POST', url: `${this.url}/vms`, payload: order, timeoutMs, mayStillSend: this.mayStillSend,
 		});
 		if (answer.statusCode !== 200) {
-			throw new StartRefusedError(`start in ${order.failureDomain} answered ${answer.statusCode}`);
+			throw new StartRefusedError(`cloud API answered ${answer.statusCode} to the start of a VM in ${order.failureDomain}`);
 		}
 
 		return answer.body;
--- a/src/coordination/completions.ts
+++ b/src/coordination/completions.ts
@@ -1,9 +1,9 @@
 /**
- * Serving completions. A request is routed to an engine and its tokens are passed on
- * in order. When the engine fails, or its VM is about to be reclaimed, the stream goes
- * on at another engine from the first token not yet delivered, so that the caller sees
- * no gap and no repeat. Ahead of an announced reclaim the KV cache moves along, so that
- * nothing is computed again.
+ * Serves completions. A request is routed to an engine, and its tokens are delivered in
+ * order. If the engine fails or its VM is about to be reclaimed, the stream resumes at
+ * another engine from the first token not yet delivered, so that the caller sees no
+ * missing or repeated token. Before an announced reclaim, the KV cache is moved to the
+ * other engine, so that no token is computed again.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type BackendServer, BackendKind} from '../protocol/gateway-settings.js';
@@ -25,12 +25,12 @@
 
 const log = createLogger('completions');
 
-/** Failed runs of one request before the gateway gives up. */
+/** Number of failed runs of one request after which the request fails. */
 export const maxFailures = 3;
-/** How long a begun request waits for an engine to become available, in milliseconds. */
+/** How long a request that has begun waits for an engine to become available, in milliseconds. */
 export const engineWaitMs = 10_000;
 const engineWaitPollMs = 100;
-/** How often the requests on a leaving engine are looked at, in milliseconds. */
+/** Interval between checks of the requests on a leaving engine, in milliseconds. */
 const drainPollMs = 200;
 
 /** One token delivered to the caller. */
@@ -41,7 +41,7 @@
 	engine: string;
 };
 
-/** What {@link Completions} needs from the rest of the gateway. */
+/** The parts of the gateway that {@link Completions} depends on. */
 export type CompletionsContext = {
 	directory: BackendDirectory;
 	loads: LoadTracker;
@@ -50,12 +50,13 @@
 
 /** Streams completions from the engines of a gateway. */
 export class Completions {
-	/** Tokens computed again because a stream went on at another engine. */
+	/** Number of tokens computed again because a stream resumed at another engine. */
 	recomputedTokens = 0;
-	/** Streams that went on at another engine after a failure. */
+	/** Number of streams that resumed at another engine after a failure. */
 	resumes = 0;
-	/** Streams moved ahead of a reclaim, and those of them whose KV cache moved along. */
+	/** Number of streams moved before a reclaim. */
 	moves = 0;
+	/** Number of streams moved together with their KV cache. */
 	kvMoves = 0;
 	private readonly active = new Set<ActiveCompletion>();
 	private readonly retries = new RetryAllowance(defaultRetryBound);
@@ -66,17 +67,17 @@
 		});
 	}
 
-	/** Requests being served. */
+	/** Number of requests being served. */
 	get inFlight(): number {
 		return this.active.size;
 	}
 
-	/** Whether the gateway knows an engine for this model. */
+	/** Whether a known engine serves this model. */
 	serves(model: string): boolean {
 		return this.models().has(model);
 	}
 
-	/** The models of the engines known now. */
+	/** Returns the models of the known engines. */
 	models(): Set<string> {
 		const {directory, loads} = this.context;
 		const engines = directory.present().filter(backend => backend.kind === BackendKind.Engine);
@@ -84,82 +85,82 @@
 	}
 
 	/**
-	 * Streams the tokens of a job in order.
+	 * Streams the tokens of a completion in order.
 	 *
-	 * @throws {NoBackendError} Before the first token, when no engine began it: not run.
-	 * @throws {OutcomeUnknownError} Before the first token, when an engine may have begun it.
-	 * @throws {StreamBrokenError} When it gave up after some tokens were delivered.
+	 * @throws {NoBackendError} Before the first token, when no engine began the request.
+	 * @throws {OutcomeUnknownError} Before the first token, when an engine may have begun the request.
+	 * @throws {StreamBrokenError} When the request failed after some tokens were delivered.
 	 */
 	async * stream(job: CompletionJob, signal: AbortSignal): AsyncGenerator<Token> {
-		const flight = new ActiveCompletion(job, signal, stalled => stalled.failures + 1 < maxFailures && this.hasOtherEngine(stalled));
-		this.active.add(flight);
+		const completion = new ActiveCompletion(job, signal, stalled => stalled.failures + 1 < maxFailures && this.hasOtherEngine(stalled));
+		this.active.add(completion);
 		this.retries.countRequest(job.model, Date.now());
 		try {
-			while (flight.delivered < job.maxTokens) {
-				// eslint-disable-next-line no-await-in-loop -- each run goes on where the last one stopped.
-				const engine = await this.placeRun(flight);
-				yield * this.run(flight, engine);
+			while (completion.delivered < job.maxTokens) {
+				// eslint-disable-next-line no-await-in-loop -- each run continues where the previous one stopped.
+				const engine = await this.placeRun(completion);
+				yield * this.run(completion, engine);
 			}
 		} finally {
-			this.active.delete(flight);
+			this.active.delete(completion);
 		}
 	}
 
-	/** Counters for state dumps. */
+	/** Returns the counters for state dumps. */
 	toJson(): Record<string, number> {
 		return {
 			inFlight: this.inFlight, recomputedTokens: this.recomputedTokens, resumes: this.resumes, moves: this.moves, kvMoves: this.kvMoves,
 		};
 	}
 
-	/** Runs a request on one engine until it ends there, fails there, or is moved away. */
-	private async * run(flight: ActiveCompletion, engine: BackendServer): AsyncGenerator<Token> {
-		const {job} = flight;
-		const sequencer = new ChunkSequencer(flight.delivered);
-		const runSignal = flight.beginRun(engine);
+	/** Runs a request on one engine until it ends, fails, or is moved to another engine. */
+	private async * run(completion: ActiveCompletion, engine: BackendServer): AsyncGenerator<Token> {
+		const {job} = completion;
+		const sequencer = new ChunkSequencer(completion.delivered);
+		const runSignal = completion.beginRun(engine);
 		try {
 			const chunks = streamCompletion(engine.url, {
 				model: job.model,
 				prompt: job.prompt,
 				max_tokens: job.maxTokens,
 				stream: true,
-				request_id: flight.engineRequestId,
+				request_id: completion.engineRequestId,
 				priority: job.priority,
-				resume_from: flight.delivered,
+				resume_from: completion.delivered,
 			}, runSignal);
 			for await (const chunk of chunks) {
-				this.countRecomputed(flight, chunk);
+				this.countRecomputed(completion, chunk);
 				for (const due of sequencer.accept(chunk)) {
-					flight.noteToken(performance.now());
+					completion.noteToken(performance.now());
 					yield {
-						seq: due.seq, text: due.choices[0].text, last: flight.delivered >= job.maxTokens, engine: engine.id,
+						seq: due.seq, text: due.choices[0].text, last: completion.delivered >= job.maxTokens, engine: engine.id,
 					};
 				}
 
-				if (flight.delivered >= job.maxTokens) {
+				if (completion.delivered >= job.maxTokens) {
 					return;
 				}
 			}
 
-			if (!await flight.wasExported()) {
-				throw new CoordinationError(`engine ${engine.id} ended the stream at ${flight.delivered} of ${job.maxTokens}`);
+			if (!await completion.wasExported()) {
+				throw new CoordinationError(`engine ${engine.id} ended the stream at ${completion.delivered} of ${job.maxTokens}`);
 			}
 		} catch (error) {
-			await this.handleFailedRun(flight, engine, error);
+			await this.handleFailedRun(completion, engine, error);
 		} finally {
-			flight.endRun();
+			completion.endRun();
 		}
 	}
 
-	/** Chooses the engine of the next run, and brings the KV cache there after an export. */
-	private async placeRun(flight: ActiveCompletion): Promise<BackendServer> {
-		const engine = await this.chooseEngine(flight);
+	/** Chooses the engine of the next run, and imports the KV cache there if it was exported. */
+	private async placeRun(completion: ActiveCompletion): Promise<BackendServer> {
+		const engine = await this.chooseEngine(completion);
 		this.context.loads.noteDispatch(engine.id);
-		const source = flight.takeExportSource();
+		const source = completion.takeExportSource();
 		if (source === undefined) {
-			if (flight.runs > 0) {
+			if (completion.runs > 0) {
 				this.resumes++;
-				log.info('resuming stream.', {request: flight.job.requestId, engine: engine.id, from: flight.delivered});
+				log.info('resuming stream.', {request: completion.job.requestId, engine: engine.id, from: completion.delivered});
 			}
 
 			return engine;
@@ -167,51 +168,51 @@
 
 		this.moves++;
 		try {
-			await importKv(engine.url, {requestId: flight.engineRequestId, source: source.url});
+			await importKv(engine.url, {requestId: completion.engineRequestId, source: source.url});
 			this.kvMoves++;
 			log.info('stream moved with its KV cache.', {
-				request: flight.job.requestId, from: source.id, to: engine.id, delivered: flight.delivered,
+				request: completion.job.requestId, from: source.id, to: engine.id, delivered: completion.delivered,
 			});
 		} catch (error) {
-			log.warn('KV cache not moved, its tokens are computed again.', {
-				request: flight.job.requestId, from: source.id, to: engine.id, error: String(error),
+			log.warn('KV cache import failed, its tokens will be computed again.', {
+				request: completion.job.requestId, from: source.id, to: engine.id, error: String(error),
 			});
 		}
 
 		return engine;
 	}
 
-	/** Chooses an engine; a request that has begun waits a while for one to become available. */
-	private async chooseEngine(flight: ActiveCompletion): Promise<BackendServer> {
+	/** Chooses an engine; a request that has begun waits up to {@link engineWaitMs} for one to become available. */
+	private async chooseEngine(completion: ActiveCompletion): Promise<BackendServer> {
 		const {loads, affinitySlack} = this.context;
 		const deadlineMs = performance.now() + engineWaitMs;
 		for (;;) {
-			flight.signal.throwIfAborted();
+			completion.signal.throwIfAborted();
 			try {
 				return chooseBackend({
-					candidates: this.enginesFor(flight.job.model),
+					candidates: this.enginesFor(completion.job.model),
 					loads: loads.views,
-					excluded: flight.failedEngines,
-					prompt: flight.job.prompt,
+					excluded: completion.failedEngines,
+					prompt: completion.job.prompt,
 					affinitySlack: affinitySlack() ?? defaultAffinitySlack,
 					nowMs: Date.now(),
 				});
 			} catch (error) {
-				if (!flight.hasBegun || performance.now() > deadlineMs) {
-					throw this.createFinalError(flight, error);
+				if (!completion.hasBegun || performance.now() > deadlineMs) {
+					throw this.createFinalError(completion, error);
 				}
 			}
 
-			// An engine that failed before may have come back.
-			flight.failedEngines.clear();
+			// An engine that failed before may be available again.
+			completion.failedEngines.clear();
 			// eslint-disable-next-line no-await-in-loop
-			await delay(engineWaitPollMs, undefined, {signal: flight.signal});
+			await delay(engineWaitPollMs, undefined, {signal: completion.signal});
 		}
 	}
 
-	/** Whether an engine other than the one it runs at takes work for a stream now. */
-	private hasOtherEngine(flight: ActiveCompletion): boolean {
-		return this.enginesFor(flight.job.model).some(engine => engine.id !== flight.engine?.id && !flight.failedEngines.has(engine.id));
+	/** Whether an engine other than the current one accepts work for a stream now. */
+	private hasOtherEngine(completion: ActiveCompletion): boolean {
+		return this.enginesFor(completion.job.model).some(engine => engine.id !== completion.engine?.id && !completion.failedEngines.has(engine.id));
 	}
 
 	private enginesFor(model: string): BackendServer[] {
@@ -219,40 +220,40 @@
 		return directory.takingWork(BackendKind.Engine).filter(engine => servesModel(engine, loads.views.get(engine.id), model));
 	}
 
-	private async handleFailedRun(flight: ActiveCompletion, engine: BackendServer, error: unknown): Promise<void> {
-		if (flight.signal.aborted) {
+	private async handleFailedRun(completion: ActiveCompletion, engine: BackendServer, error: unknown): Promise<void> {
+		if (completion.signal.aborted) {
 			throw error;
 		}
 
-		flight.failures++;
-		flight.failedEngines.add(engine.id);
+		completion.failures++;
+		completion.failedEngines.add(engine.id);
 		if (!(error instanceof EngineRefusalError)) {
 			this.context.loads.noteFailure(engine.id);
 		}
 
-		const didNotRun = error instanceof EngineRefusalError || error instanceof ConnectError || await confirmNotStarted(flight, engine);
-		flight.mayHaveRun ||= !didNotRun;
+		const didNotRun = error instanceof EngineRefusalError || error instanceof ConnectError || await confirmNotStarted(completion, engine);
+		completion.mayHaveRun ||= !didNotRun;
 		log.warn('engine failed.', {
-			request: flight.job.requestId, engine: engine.id, delivered: flight.delivered, error: String(error),
+			request: completion.job.requestId, engine: engine.id, delivered: completion.delivered, error: String(error),
 		});
-		const isRetryAllowed = flight.hasDelivered || this.retries.take(flight.job.model, RepeatPurpose.Retry, 1, Date.now());
-		if (flight.failures >= maxFailures || !isRetryAllowed) {
-			throw this.createFinalError(flight, error);
+		const isRetryAllowed = completion.hasDelivered || this.retries.take(completion.job.model, RepeatPurpose.Retry, 1, Date.now());
+		if (completion.failures >= maxFailures || !isRetryAllowed) {
+			throw this.createFinalError(completion, error);
 		}
 	}
 
-	private createFinalError(flight: ActiveCompletion, cause: unknown): CoordinationError {
-		if (flight.hasDelivered) {
-			return new StreamBrokenError(flight.delivered, {cause});
+	private createFinalError(completion: ActiveCompletion, cause: unknown): CoordinationError {
+		if (completion.hasDelivered) {
+			return new StreamBrokenError(completion.delivered, {cause});
 		}
 
-		const {requestId} = flight.job;
-		return flight.mayHaveRun
+		const {requestId} = completion.job;
+		return completion.mayHaveRun
 			? new OutcomeUnknownError(`request ${requestId} may have run`, {cause})
 			: new NoBackendError(`no engine took request ${requestId}`, {cause});
 	}
 
-	/** Moves the requests on a leaving engine away until it is gone: some reach it late, and some turn out too slow to finish there. */
+	/** Repeatedly moves requests from a leaving engine to others until it is gone, since some requests arrive there late and some turn out to be too slow to finish there. */
 	private async drainEngine({backend, leavesAtMs}: BackendEntry): Promise<void> {
 		if (leavesAtMs === undefined) {
 			return;
@@ -267,36 +268,36 @@
 		} while (nowMs < leavesAtMs);
 	}
 
-	/** Moves the requests on a leaving engine away, but for those that will finish there in time. */
+	/** Moves the requests on a leaving engine to others, except those that will finish in time. */
 	private moveRequests(backend: BackendServer, leavesAtMs: number, nowMs: number): void {
-		for (const flight of this.active) {
-			if (flight.engine?.id !== backend.id || flight.isExporting) {
+		for (const completion of this.active) {
+			if (completion.engine?.id !== backend.id || completion.isExporting) {
 				continue;
 			}
 
-			flight.abortAfter(leavesAtMs - nowMs);
-			// An export ends the run here, so another engine has to be there first.
-			if (!flight.willFinishBy(leavesAtMs, nowMs) && this.hasOtherEngine(flight)) {
-				flight.startExport(exportKv(backend.url, flight.engineRequestId));
+			completion.abortAfter(leavesAtMs - nowMs);
+			// The export ends the run on this engine, so another engine must be available first.
+			if (!completion.willFinishBy(leavesAtMs, nowMs) && this.hasOtherEngine(completion)) {
+				completion.trackExport(exportKv(backend.url, completion.engineRequestId));
 			}
 		}
 	}
 
-	private countRecomputed(flight: ActiveCompletion, chunk: EngineChunk): void {
-		if (chunk.prefilled !== undefined && (flight.runs > 1 || flight.job.resumeFrom > 0)) {
+	private countRecomputed(completion: ActiveCompletion, chunk: EngineChunk): void {
+		if (chunk.prefilled !== undefined && (completion.runs > 1 || completion.job.resumeFrom > 0)) {
 			this.recomputedTokens += chunk.prefilled;
 		}
 	}
 }
 
-/** Asks an engine to cancel a request; true only when it confirms that it never began it. */
-async function confirmNotStarted(flight: ActiveCompletion, engine: BackendServer): Promise<boolean> {
-	if (flight.hasDelivered) {
+/** Cancels a request at an engine; returns true only if the engine confirms that it never began the request. */
+async function confirmNotStarted(completion: ActiveCompletion, engine: BackendServer): Promise<boolean> {
+	if (completion.hasDelivered) {
 		return false;
 	}
 
 	try {
-		const answer = await cancelRequest(engine.url, flight.engineRequestId);
+		const answer = await cancelRequest(engine.url, completion.engineRequestId);
 		return answer.cancelled && !answer.started;
 	} catch {
 		return false;
--- a/src/coordination/config-follower.ts
+++ b/src/coordination/config-follower.ts
@@ -1,7 +1,7 @@
 /**
- * The task that tails the `config` stream and applies its records, in offset
- * order, to the gateway's {@link ConfigTable}. Outages of the log only delay it:
- * the table keeps what it has and never falls back.
+ * Follows the `config` stream and applies its records, in offset order, to the
+ * gateway's {@link ConfigTable}. Outages of the log only delay updates: the table
+ * keeps its state and never reverts to an older one.
  */
 import {type ConfigRecord, ConfigRecordKind, configStream} from '../protocol/config-records.js';
 import {type ConfigTable} from '../state/config-table.js';
@@ -11,7 +11,7 @@
 
 const log = createLogger('config');
 
-/** Tails the config stream into a table until the signal aborts. */
+/** Applies the records of the config stream to a table until the signal aborts. */
 export async function followConfig(platformLog: PlatformLog, table: ConfigTable, signal: AbortSignal): Promise<void> {
 	await followStream<ConfigRecord>({
 		platformLog,
--- a/src/coordination/config-snapshots.ts
+++ b/src/coordination/config-snapshots.ts
@@ -1,17 +1,17 @@
 /**
- * Snapshots of the configuration on its own stream, written by the controller well
- * before the platform log forgets the records they cover, so that a gateway that starts
- * later still learns the configuration in force.
+ * Writes snapshots of the configuration to the config stream. The controller does so well
+ * before the platform log drops the records that a snapshot covers, so that a gateway that
+ * starts later can still read the active configuration.
  */
 import {randomUUID} from 'node:crypto';
 import {type ConfigRecord, ConfigRecordKind, configStream} from '../protocol/config-records.js';
 import {type ConfigTable} from '../state/config-table.js';
 import {type PlatformLog} from '../state/platform-log.js';
 
-/** Snapshots written within one retention period, so that several may fail. */
+/** Number of snapshots per retention period, so that several may fail. */
 export const snapshotsPerRetention = 4;
 
-/** Whether a snapshot is due at `nowMs` (time of day, as the log stamps its records). */
+/** Whether a snapshot is due at `nowMs` (wall clock, as in the timestamps of the log). */
 export function isSnapshotDue(table: ConfigTable, retentionMs: number, nowMs: number): boolean {
 	if (!table.isKnown || table.appliedOffset === -1) {
 		return false;
@@ -23,7 +23,7 @@
 /**
  * Appends a snapshot of the table.
  *
- * @throws {StateError} When the log refused it or its answer was lost.
+ * @throws {StateError} When the log refused the append or its answer was lost.
  */
 export async function writeSnapshot(table: ConfigTable, platformLog: PlatformLog, signal: AbortSignal): Promise<void> {
 	const record: ConfigRecord = {
--- a/src/coordination/errors.ts
+++ b/src/coordination/errors.ts
@@ -1,15 +1,15 @@
 import {SesametallyError} from '../errors.js';
 
-/** A decision that could not be made or carried out: routing, admission, config. */
+/** The base class of errors in the coordination of requests and backend servers. */
 export class CoordinationError extends SesametallyError {}
 
-/** No backend server can take the request; nothing was dispatched. */
+/** No backend server can take the request, and none has begun it. */
 export class NoBackendError extends CoordinationError {}
 
-/** The gateway gave up before any token; an engine may have begun the request. */
+/** The request failed before any result was delivered, and a backend server may have begun it. */
 export class OutcomeUnknownError extends CoordinationError {}
 
-/** The gateway gave up on a request after some tokens were delivered. */
+/** The request failed after some tokens were delivered. */
 export class StreamBrokenError extends CoordinationError {
 	constructor(
 		readonly delivered: number,
@@ -19,5 +19,5 @@
 	}
 }
 
-/** An engine sent nothing for longer than a running stream may pause. */
+/** An engine sent no token for longer than allowed in a running stream, or its VM is gone. */
 export class StalledStreamError extends CoordinationError {}
--- a/src/coordination/flight.ts
+++ b/src/coordination/flight.ts
@@ -1,6 +1,6 @@
 /**
- * One completion being served: where it runs, how far it is, and whether it is being
- * moved away from a leaving engine.
+ * The state of one completion being served: its engine, its progress, and whether it is
+ * being moved from a leaving engine to another one.
  */
 import {type BackendServer} from '../protocol/gateway-settings.js';
 import {type KvSnapshot} from '../protocol/engine-api.js';
@@ -9,35 +9,37 @@
 
 const log = createLogger('completions');
 
-/** Longest pause between two tokens of a running stream, in milliseconds. */
+/** Time without a token after which a running stream is stalled, in milliseconds. */
 export const stallTimeoutMs = 5000;
-/** Slack kept between a stream's expected end and its VM's, in milliseconds. */
+/** Minimum time between a stream's expected end and the end of its VM, in milliseconds. */
 export const finishMarginMs = 1000;
 
-/** A completion as the gateway serves it. */
+/** A completion request to be served. */
 export type CompletionJob = {
-	/** Unique per client account; a caller that reconnects gives the same one. */
+	/** Unique per client account; a caller that reconnects sends the same id. */
 	requestId: string;
 	account: string;
 	model: string;
 	prompt: string;
 	maxTokens: number;
 	priority: number;
-	/** The first token the caller still needs: above 0 when it reconnects. */
+	/** Index of the first token that the caller still needs; above 0 when it reconnects. */
 	resumeFrom: number;
 };
 
 /** The state of one completion being served. */
 export class ActiveCompletion {
-	/** The next token the caller needs. */
+	/** Index of the next token that the caller needs. */
 	delivered: number;
-	/** Runs begun on engines so far. */
+	/** Number of runs begun on engines. */
 	runs = 0;
+	/** Number of failed runs. */
 	failures = 0;
 	/** Whether an engine may have begun the request. */
 	mayHaveRun = false;
+	/** Ids of the engines on which a run failed. */
 	readonly failedEngines = new Set<string>();
-	/** The engine of the run in progress. */
+	/** The engine of the current run. */
 	engine: BackendServer | undefined;
 	private runController = new AbortController();
 	private pendingExport: Promise<KvSnapshot | undefined> | undefined;
@@ -48,16 +50,16 @@
 	private lastTokenMs = 0;
 	private tokensThisRun = 0;
 
-	/** @param canResumeElsewhere Whether an engine could go on with it now. */
+	/** @param canResumeElsewhere Returns whether the stream could resume at another engine now. */
 	constructor(
 		readonly job: CompletionJob,
 		readonly signal: AbortSignal,
-		private readonly canResumeElsewhere: (flight: ActiveCompletion) => boolean,
+		private readonly canResumeElsewhere: (completion: ActiveCompletion) => boolean,
 	) {
 		this.delivered = job.resumeFrom;
 	}
 
-	/** The request's id at the engines, unique over client accounts. */
+	/** The request's id at the engines, unique across client accounts. */
 	get engineRequestId(): string {
 		return `${this.job.account}.${this.job.requestId}`;
 	}
@@ -70,7 +72,7 @@
 		return this.runs > 0;
 	}
 
-	/** Begins a run; its signal aborts with the request, on a stall, or when the VM goes. */
+	/** Begins a run. The returned signal aborts with the request, on a stall, or when the VM has gone. */
 	beginRun(engine: BackendServer): AbortSignal {
 		this.engine = engine;
 		this.runs++;
@@ -81,7 +83,7 @@
 		return AbortSignal.any([this.signal, this.runController.signal]);
 	}
 
-	/** Ends the run in progress, however it ended, and closes its connection. */
+	/** Ends the current run, whatever its outcome, and closes its connection. */
 	endRun(): void {
 		clearTimeout(this.vmGoneTimer);
 		clearTimeout(this.stallTimer);
@@ -89,7 +91,7 @@
 		this.engine = undefined;
 	}
 
-	/** Counts a token delivered at `nowMs` (monotonic). */
+	/** Counts a token that was delivered at `nowMs` by the monotonic clock. */
 	noteToken(nowMs: number): void {
 		this.delivered++;
 		this.tokensThisRun++;
@@ -98,7 +100,7 @@
 		this.restartStallTimer();
 	}
 
-	/** Aborts the run when its VM goes, should its connection hang. */
+	/** Aborts the current run after a delay, when its VM is gone, in case the connection hangs. */
 	abortAfter(afterMs: number): void {
 		clearTimeout(this.vmGoneTimer);
 		this.vmGoneTimer = setTimeout(() => {
@@ -106,7 +108,7 @@
 		}, afterMs);
 	}
 
-	/** Whether, at its pace so far, the stream ends well before `leavesAtMs`. */
+	/** Whether the stream, at its average token rate in this run, ends at least {@link finishMarginMs} before `leavesAtMs`. */
 	willFinishBy(leavesAtMs: number, nowMs: number): boolean {
 		if (this.firstTokenMs === undefined || this.tokensThisRun < 2) {
 			return false;
@@ -117,26 +119,26 @@
 		return nowMs + remainingMs + finishMarginMs < leavesAtMs;
 	}
 
-	/** Whether the KV cache is being exported, or was. */
+	/** Whether the KV cache is being exported or was exported in this run. */
 	get isExporting(): boolean {
 		return this.pendingExport !== undefined;
 	}
 
-	/** Notes that the request's KV cache is being exported from its engine; one that fails may be tried again. */
-	startExport(exporting: Promise<KvSnapshot>): void {
+	/** Tracks an export of the request's KV cache from its current engine; a failed export may be retried. */
+	trackExport(exportResult: Promise<KvSnapshot>): void {
 		const {runs} = this;
 		this.pendingExport = (async () => {
 			try {
-				return await exporting;
+				return await exportResult;
 			} catch (error) {
-				log.warn('KV cache not exported, the stream stays.', {request: this.job.requestId, engine: this.engine?.id, error: String(error)});
+				log.warn('KV cache export failed, the stream stays at its engine.', {request: this.job.requestId, engine: this.engine?.id, error: String(error)});
 				this.pendingExport = runs === this.runs ? undefined : this.pendingExport;
 				return undefined;
 			}
 		})();
 	}
 
-	/** Whether the run ended because its KV cache was exported. */
+	/** Waits for a pending export; returns whether the run ended because its KV cache was exported. */
 	async wasExported(): Promise<boolean> {
 		const source = this.engine;
 		const snapshot = await this.pendingExport;
@@ -145,14 +147,14 @@
 		return snapshot !== undefined;
 	}
 
-	/** Takes the engine that holds the exported KV cache, once. */
+	/** Returns the engine that holds the exported KV cache, and clears it. */
 	takeExportSource(): BackendServer | undefined {
 		const source = this.exportSource;
 		this.exportSource = undefined;
 		return source;
 	}
 
-	/** Ends the run after a pause, unless nothing could go on with it: the engine may still. */
+	/** Aborts the run when it stalls, unless the stream could not resume at another engine: its own engine may still continue. */
 	private restartStallTimer(): void {
 		clearTimeout(this.stallTimer);
 		this.stallTimer = setTimeout(() => {
--- a/src/coordination/journal.ts
+++ b/src/coordination/journal.ts
@@ -1,11 +1,10 @@
 /**
- * At-most-once for non-idempotent calls. Before a call is dispatched, its intent
- * goes to the platform log's `journal` stream, batched per gateway into one append
- * every `flushMs`; the call may be dispatched only when that intent is the first
- * in log order for its client account and idempotency key. A call is never
- * retried after dispatch. Ids to deduplicate on, as in the outbox reference
- * (../given/docs, "claims that skip rather than wait"): a loser does not wait for
- * the winner, it answers at once.
+ * Ensures that a non-idempotent call runs at most once. Before a call is dispatched, its
+ * intent is appended to the platform log's `journal` stream; each gateway batches its
+ * intents into one append per `flushMs`. The call may be dispatched only if its intent is
+ * the first one in log order for its client account and idempotency key. A call is never
+ * retried after dispatch. A call whose intent is not the first is answered at once,
+ * without waiting for the outcome of the call that won.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {randomUUID} from 'node:crypto';
@@ -20,31 +19,31 @@
 
 const log = createLogger('journal');
 
-/** How long a claim waits to read its own intent back, in milliseconds. */
+/** How long a claim waits until its own intent is read back from the log, in milliseconds. */
 export const readBackMs = 5000;
 const readBackPollMs = 5;
 
-/** What became of a claim. */
+/** The outcomes of a claim. */
 export enum ClaimOutcome {
-	/** The intent is first for its key: dispatch the call, once. */
+	/** The intent is the first one for its key: the call may be dispatched, once. */
 	Won = 'won',
-	/** An earlier intent holds the key: do not dispatch; its outcome is not known here. */
+	/** An earlier intent has the key: the call must not be dispatched, and the earlier call's outcome is unknown here. */
 	Taken = 'taken',
-	/** The log refused the append: nothing was recorded and nothing will run. */
+	/** The log refused the append: nothing was recorded, so the call must not be dispatched. */
 	NotRecorded = 'not-recorded',
-	/** The append's answer was lost and the intent was not read back in time: it will not be dispatched. */
+	/** The intent was not read back in time: the call must not be dispatched. */
 	Abandoned = 'abandoned',
 }
 
-/** Whose call is to run, and under which key. */
+/** The call to claim: its client account, idempotency key and service. */
 export type ClaimRequest = {account: string; key: string; service: string};
 
-/** What became of a claim, and the intent it wrote. */
+/** The outcome of a claim, and the intent that was written. */
 export type ClaimAnswer = {claim: ClaimOutcome; intent: Intent};
 
 type PendingAppend = {record: JournalRecord; settle: (result: {firstOffset: number; index: number} | Error) => void};
 
-/** The journal of one gateway: batches intents and decides claims. */
+/** The journal of one gateway: batches intents and decides on claims. */
 export class Journal {
 	batches = 0;
 	private queue: PendingAppend[] = [];
@@ -57,7 +56,7 @@
 		private readonly flushMs: number,
 	) {}
 
-	/** Tails the journal stream into the table until the signal aborts. */
+	/** Applies the records of the journal stream to the table until the signal aborts. */
 	async follow(signal: AbortSignal): Promise<void> {
 		await followStream<JournalRecord>({
 			platformLog: this.platformLog, stream: journalStream, from: this.table.appliedOffset + 1, log, apply: record => {
@@ -67,9 +66,9 @@
 	}
 
 	/**
-	 * Records the intent of a call and decides whether it may be dispatched.
+	 * Records the intent of a call and decides whether the call may be dispatched.
 	 *
-	 * @param signal Aborts the wait for the read-back; the claim then counts as abandoned.
+	 * @param signal Aborts the wait for the read-back; the outcome is then {@link ClaimOutcome.Abandoned}.
 	 */
 	async claim({account, key, service}: ClaimRequest, signal: AbortSignal): Promise<ClaimAnswer> {
 		const intent: Intent = {
@@ -77,14 +76,14 @@
 		};
 		const claim = await this.appendAndDecide(intent, signal);
 		if (claim === ClaimOutcome.Abandoned) {
-			// The intent may still land: its release frees the key whichever comes first.
+			// The intent may still be appended; the release frees the key whether it arrives before or after the intent.
 			void this.release(intent);
 		}
 
 		return {claim, intent};
 	}
 
-	/** Withdraws an intent whose call was never sent. If the log refuses, the key stays taken. */
+	/** Releases an intent whose call was never sent. If the log refuses the release, the key stays taken. */
 	async release({id, account, key}: Intent): Promise<void> {
 		const appended = await this.enqueue({
 			kind: JournalRecordKind.Release, id, account, key,
@@ -103,15 +102,15 @@
 		const appended = await this.enqueue(intent);
 		let offset: number | undefined;
 		if (appended instanceof UnknownAppendError) {
-			log.warn('intent append outcome unknown, reading back.', {key, account});
+			log.warn('outcome of the intent append unknown, waiting to read the intent back.', {key, account});
 		} else if (appended instanceof Error) {
 			return ClaimOutcome.NotRecorded;
 		} else {
 			offset = appended.firstOffset + appended.index;
 		}
 
-		const deadlineMs = Date.now() + readBackMs;
-		while (!signal.aborted && Date.now() < deadlineMs) {
+		const deadlineAtMs = Date.now() + readBackMs;
+		while (!signal.aborted && Date.now() < deadlineAtMs) {
 			offset ??= this.table.offsetOf(intent.id);
 			if (offset !== undefined && this.table.appliedOffset >= offset) {
 				return this.table.firstFor(account, key)?.id === intent.id ? ClaimOutcome.Won : ClaimOutcome.Taken;
--- a/src/coordination/record-sinks.ts
+++ b/src/coordination/record-sinks.ts
@@ -1,4 +1,4 @@
-/** What a daemon does with the records of the topics it follows. A record that cannot be read is logged and skipped. */
+/** Apply the records of the followed topics to the daemon's tables. A record that cannot be decoded is logged and skipped. */
 import {type KeyedRecord, type Records} from '../protocol/platform.js';
 import {type BackendTable} from '../state/backend-table.js';
 import {type RouteTable} from '../state/route-table.js';
@@ -7,12 +7,12 @@
 
 const log = createLogger('front');
 
-/** Most names whose unreadable entries are logged at a time; more than a misdirected writer's first ones tell nothing new. */
+/** Number of keys with undecodable entries that are logged at a time. Another writer may fill the topic with such entries, and further ones show nothing new. */
 const maxLoggedKeys = 100;
 
-/** Takes configurations into force. */
+/** Applies configurations to the route table. */
 export class ConfigSink implements RecordSink {
-	/** @param onChange Called after each version taken into force. */
+	/** @param onChange Called after each version that takes effect. */
 	constructor(
 		private readonly records: Records,
 		private readonly routes: RouteTable,
@@ -33,28 +33,28 @@
 		try {
 			const config = this.records.readConfig(record.value);
 			if (this.routes.apply(config)) {
-				log.info('configuration in force.', {
+				log.info('configuration applied.', {
 					version: config.version, offset: record.offset, routes: config.routes.length, accounts: config.accounts.map(account => `${account.name} ${account.ratePerSecond ?? 'unlimited'}/s +${account.burst}`),
 				});
 				this.onChange();
 			}
 		} catch (error) {
-			log.error('configuration unreadable, keeping the last one.', {offset: record.offset, version: this.routes.version, error: String(error)});
+			log.error('cannot decode the configuration, keeping the last one.', {offset: record.offset, version: this.routes.version, error: String(error)});
 		}
 	}
 }
 
-/** Keeps the table of backend servers. */
+/** Applies the list of backend servers to the table of backend servers. */
 export class BackendsSink implements RecordSink {
-	/** Whether a full list was read. */
+	/** Whether a complete list has been read. */
 	isKnown = false;
-	/** When a backend server was listed that was not known before. */
+	/** When a backend server was last added to the list. */
 	grownAtMs = Number.NEGATIVE_INFINITY;
 
-	/** Names whose entry could not be read, logged once. */
+	/** Keys whose entries could not be decoded; each is logged once. */
 	private readonly unreadableKeys = new Set<string>();
 
-	/** @param onList Called after each full list. */
+	/** @param onList Called after each complete list. */
 	constructor(
 		private readonly records: Records,
 		private readonly backends: BackendTable,
@@ -75,7 +75,7 @@
 		if (!record.value) {
 			this.unreadableKeys.delete(record.key);
 			const entry = this.backends.vanish(record.key, nowMs);
-			log.info('backend server not listed any more.', {backend: record.key, wasLeaving: entry?.leavingSinceMs !== undefined, offset: record.offset});
+			log.info('backend server removed from the list.', {backend: record.key, wasLeaving: entry?.leavingSinceMs !== undefined, offset: record.offset});
 			return;
 		}
 
@@ -85,7 +85,7 @@
 			const {beganToLeave, isNew} = this.backends.upsert(backend, nowMs);
 			this.grownAtMs = isNew ? nowMs : this.grownAtMs;
 			if (beganToLeave || isNew) {
-				log.info(beganToLeave ? 'backend server leaves.' : 'backend server listed.', {
+				log.info(beganToLeave ? 'backend server is leaving.' : 'backend server added to the list.', {
 					backend: backend.id,
 					service: backend.service,
 					address: `${backend.host}:${backend.port}`,
@@ -96,16 +96,16 @@
 				});
 			}
 		} catch (error) {
-			this.withholdEntry(record, nowMs, error);
+			this.withholdWork(record, nowMs, error);
 		}
 	}
 
-	/** Passes over an entry that cannot be read; logged once until one can, since others than backend servers may repeat it. */
-	private withholdEntry(record: KeyedRecord, nowMs: number, error: unknown): void {
+	/** Withholds work from a backend server whose entry cannot be decoded. This is logged once until a valid entry follows, since other writers may repeat the entry. */
+	private withholdWork(record: KeyedRecord, nowMs: number, error: unknown): void {
 		this.backends.withhold(record.key, nowMs);
 		if (!this.unreadableKeys.has(record.key) && this.unreadableKeys.size < maxLoggedKeys) {
 			this.unreadableKeys.add(record.key);
-			log.error('entry of a backend server unreadable, skipped.', {backend: record.key, offset: record.offset, error: String(error)});
+			log.error('cannot decode the entry of a backend server, skipping it.', {backend: record.key, offset: record.offset, error: String(error)});
 		}
 	}
 }
--- a/src/coordination/service-calls.ts
+++ b/src/coordination/service-calls.ts
@@ -1,7 +1,8 @@
 /**
- * Calls to plain services. A non-idempotent call is dispatched only under a journal
- * claim and never again after its bytes may have left; an idempotent call may be tried
- * at another backend server. A call that provably never left is free to go elsewhere.
+ * Dispatches calls to plain services. A non-idempotent call is dispatched only after its
+ * journal claim succeeded, and never again once any of its bytes may have been sent. An
+ * idempotent call may be retried at another backend server. A call of either kind whose
+ * connection failed before anything was sent is tried at the next backend server.
  */
 import {type BackendServer, BackendKind} from '../protocol/gateway-settings.js';
 import {type JsonResponse, requestJson} from '../transport/http-client.js';
@@ -14,29 +15,29 @@
 
 const log = createLogger('services');
 
-/** Backend servers tried for one call. */
+/** Maximum number of backend servers that are tried for one call. */
 export const maxTargets = 3;
-/** How long a backend server that refused a connection is tried last, in milliseconds. */
+/** How long a backend server is tried last after a failed call, in milliseconds. */
 export const avoidMs = 2000;
 
-/** A call as a caller makes it. */
+/** A service call as the caller sent it. */
 export type ServiceCall = {
 	account: string;
 	service: string;
-	/** The path below the service's `/v1/`. */
+	/** The path after `/v1/` at the backend server. */
 	call: string;
 	idempotencyKey: string;
 	idempotent: boolean;
 	payload: unknown;
 };
 
-/** The idempotency key was submitted before; that call's outcome is not known here. */
+/** The idempotency key was submitted before; the outcome of that call is unknown here. */
 export class KeyTakenError extends OutcomeUnknownError {}
 
-/** The call could not be recorded before dispatch; it did not run. */
+/** The call's intent could not be recorded, so the call did not run. */
 export class NotRecordedError extends NoBackendError {}
 
-/** Carries out service calls of one gateway. */
+/** Dispatches the service calls of one gateway. */
 export class ServiceCalls {
 	private nextTargetIndex = 0;
 	private readonly avoidedUntilMs = new Map<string, number>();
@@ -48,11 +49,11 @@
 	) {}
 
 	/**
-	 * Carries out a call.
+	 * Dispatches a call.
 	 *
 	 * @returns The backend server's answer, whatever its status.
-	 * @throws {NoBackendError} When it did not run.
-	 * @throws {OutcomeUnknownError} When it may have run.
+	 * @throws {NoBackendError} When the call did not run.
+	 * @throws {OutcomeUnknownError} When the call may have run.
 	 */
 	async call(call: ServiceCall, signal: AbortSignal): Promise<JsonResponse<unknown>> {
 		this.orderTargets(call.service, Date.now());
@@ -91,7 +92,7 @@
 
 			tried.add(target.id);
 			try {
-				// eslint-disable-next-line no-await-in-loop -- one target at a time, or the call could run twice.
+				// eslint-disable-next-line no-await-in-loop -- one backend server at a time, since the call could otherwise run twice.
 				return await requestJson({
 					method: 'POST', url: `${target.url}/v1/${call.call}`, payload: call.payload, headers: {'idempotency-key': call.idempotencyKey},
 				});
@@ -107,10 +108,10 @@
 	}
 
 	/**
-	 * The backend servers of a service in the order to try them: in turn, those that
-	 * failed lately last.
+	 * Returns the backend servers of a service in the order in which to try them:
+	 * round-robin, with those that failed recently last.
 	 *
-	 * @throws {NoBackendError} When there is none.
+	 * @throws {NoBackendError} When the service has none.
 	 */
 	private orderTargets(service: string, nowMs: number): BackendServer[] {
 		const targets = this.directory.takingWork(BackendKind.Service).filter(backend => backend.name === service);
@@ -119,8 +120,8 @@
 		}
 
 		const start = this.nextTargetIndex++ % targets.length;
-		const inTurn = [...targets.slice(start), ...targets.slice(0, start)];
+		const rotated = [...targets.slice(start), ...targets.slice(0, start)];
 		const isAvoided = (backend: BackendServer) => (this.avoidedUntilMs.get(backend.id) ?? 0) > nowMs;
-		return [...inTurn.filter(backend => !isAvoided(backend)), ...inTurn.filter(backend => isAvoided(backend))];
+		return [...rotated.filter(backend => !isAvoided(backend)), ...rotated.filter(backend => isAvoided(backend))];
 	}
 }
--- a/src/coordination/settings-reload.ts
+++ b/src/coordination/settings-reload.ts
@@ -1,22 +1,21 @@
 /**
- * Takes changed settings into force while the daemon runs. Bounds are changed in place;
- * what a port, an address or the length of a counted window was set to holds until the
- * next start, which the log says.
+ * Applies changed settings while the daemon runs. Bounds are changed in place. Changes of
+ * ports, addresses and the lengths of counted windows need a restart, which is logged.
  */
 import {type FrontSettings, type ServiceBounds} from '../protocol/platform.js';
 
-/** Bounds whose change would make what was counted so far meaningless, or two daemons disagree on who may act. */
+/** Bounds that only a restart changes: otherwise earlier counts would become meaningless, or two daemons could disagree on which one may act. */
 const fixedBounds: ReadonlySet<keyof ServiceBounds> = new Set(['quotaWindowMs', 'retryWindowMs', 'usageWindowMs', 'leaseMs']);
 
-/** What a reload changed. */
+/** The result of a reload. */
 export type SettingsChange = {
-	/** Bounds in force with their new values. */
+	/** Changed bounds that apply at once, with their new values. */
 	changed: Partial<ServiceBounds>;
 	/** Names of settings that differ and need a restart. */
 	needRestart: string[];
 };
 
-/** Changes the bounds in force to those of freshly read settings. */
+/** Applies the bounds of reloaded settings to the current settings. */
 export function applySettings(current: FrontSettings, reloaded: FrontSettings): SettingsChange {
 	const changed: Partial<ServiceBounds> = {};
 	const needRestart: string[] = [];
@@ -34,7 +33,7 @@
 
 	Object.assign(current.bounds, changed);
 	const names = Object.keys(reloaded) as Array<keyof FrontSettings>;
-	// A restart is no first start, so that one changes by itself.
+	// `isFirstStart` is ignored, because it changes by itself after the first start.
 	needRestart.push(...names.filter(name => name !== 'bounds' && name !== 'isFirstStart' && JSON.stringify(reloaded[name]) !== JSON.stringify(current[name])));
 	return {changed, needRestart};
 }
--- a/src/coordination/stream-follower.ts
+++ b/src/coordination/stream-follower.ts
@@ -1,38 +1,38 @@
 /**
- * The task that tails one stream of the platform log and hands each record, in
- * offset order, to `apply`. Outages of the log only delay it; after records
- * expired it goes on from the first one kept, and says so.
+ * Follows one stream of the platform log and passes each record, in offset order,
+ * to `apply`. Outages of the log only delay it. If records expired before they were
+ * read, it reports that and continues from the first record that is still kept.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type PlatformLog} from '../state/platform-log.js';
 import {type LogRecord} from '../protocol/platform-log.js';
 import {type Logger} from '../log.js';
 
-/** How long one read waits for new records. */
+/** How long one read waits for new records, in milliseconds. */
 export const pollWaitMs = 10_000;
-/** Pause after a failed read. */
+/** Pause after a failed read, in milliseconds. */
 export const retryPauseMs = 250;
 
-/** What to follow and what to do with each record. */
+/** Options of {@link followStream}. */
 export type StreamFollower<T> = {
 	platformLog: PlatformLog;
 	stream: string;
 	/** The first offset to read. */
 	from: number;
 	apply: (record: LogRecord<T>) => void;
-	/** Told the first offset kept when records expired before they were read. */
+	/** Called with the first offset still kept when records expired before they were read. */
 	onExpired?: (start: number) => void;
-	/** Told after each read that reached the end of the stream. */
+	/** Called after each read that reached the end of the stream. */
 	onCaughtUp?: () => void;
 	log: Logger;
 };
 
-/** Tails a stream until the signal aborts. */
+/** Follows a stream until the signal aborts. */
 export async function followStream<T>(follower: StreamFollower<T>, signal: AbortSignal): Promise<void> {
 	const {platformLog, stream, apply, log} = follower;
 	let next = follower.from;
 	let isFailing = false;
-	// The first read does not wait, so that an empty stream is known to be empty.
+	// The first read doesn't wait, so that an empty stream is recognised at once.
 	let waitMs = 0;
 	while (!signal.aborted) {
 		try {
@@ -40,7 +40,7 @@
 			const answer = await platformLog.read<T>(stream, next, waitMs, signal);
 			waitMs = pollWaitMs;
 			if (isFailing) {
-				log.info('platform log is back.', {stream, next});
+				log.info('platform log reachable again.', {stream, next});
 				isFailing = false;
 			}
 
@@ -65,7 +65,7 @@
 			}
 
 			if (!isFailing) {
-				log.warn('platform log unreachable, keeping what was read.', {stream, next, error: String(error)});
+				log.warn('platform log unreachable, keeping the records read so far.', {stream, next, error: String(error)});
 				isFailing = true;
 			}
 
--- a/src/coordination/vm-watch.ts
+++ b/src/coordination/vm-watch.ts
@@ -1,7 +1,7 @@
 /**
- * The tasks that keep the {@link BackendDirectory} up to date: one polls the cloud API's
- * reclaim notices, one polls the lagging VM list. While either cannot be read, the
- * directory keeps what it has.
+ * Tasks that keep the {@link BackendDirectory} up to date: one polls the cloud API's
+ * reclaim notices, the other polls the VM list, which lags behind. While either cannot be
+ * read, the directory keeps its last known state.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type NoticePage, type VmEntry} from '../protocol/cloud-api.js';
@@ -11,13 +11,13 @@
 
 const log = createLogger('vms');
 
-/** A source to poll, and how often. */
+/** A source to poll, and the polling interval. */
 export type PollTarget = {
 	url: string;
 	pollMs: number;
 };
 
-/** Polls the reclaim notices until the signal aborts. */
+/** Polls the reclaim notices and passes them to the directory until the signal aborts. */
 export async function followNotices(target: PollTarget, directory: BackendDirectory, signal: AbortSignal): Promise<void> {
 	let from = 0;
 	await pollUntilAborted('reclaim notices', target.pollMs, async () => {
@@ -32,7 +32,7 @@
 	}, signal);
 }
 
-/** Polls the VM list until the signal aborts. */
+/** Polls the VM list and passes it to the directory until the signal aborts. */
 export async function followVmList(target: PollTarget, directory: BackendDirectory, signal: AbortSignal): Promise<void> {
 	await pollUntilAborted('VM list', target.pollMs, async () => {
 		const vms = await fetchJson<VmEntry[]>({
@@ -49,13 +49,13 @@
 			// eslint-disable-next-line no-await-in-loop
 			await read();
 			if (isFailing) {
-				log.info('source is back.', {source});
+				log.info('source reachable again.', {source});
 			}
 
 			isFailing = false;
 		} catch (error) {
 			if (!isFailing && !signal.aborted) {
-				log.warn('source unreachable, keeping what is known.', {source, error: String(error)});
+				log.warn('source unreachable, keeping the last known state.', {source, error: String(error)});
 			}
 
 			isFailing = true;
